--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -11,7 +11,7 @@
 import { FailoverWatch } from './failover/failover-watch.ts'
 import { LeadershipQuestions } from './failover/verify-leadership.ts'
 import { Fleet } from './fleet/fleet.ts'
-import { FleetMessages } from './fleet/fleet-messages.ts'
+import { FleetMessageHandler } from './fleet/fleet-messages.ts'
 import { createMemberState, type MemberState } from './fleet/members.ts'
 import type { VmEntry } from './fleet/messages.ts'
 import { GroupTable, type GroupTableOptions } from './groups/group-table.ts'
@@ -134,10 +134,10 @@
   const quotas = new QuotaKeeper({ settings, clock, configuration, members, counting })
   const quotaRecord = new QuotaRecord({ store, clock, logger, members, quotas })
   const network = createNetwork(self, members, logger)
-  const messages = new FleetMessages({ clock, logger, self, configuration, groups, quotas, members, quotaRecord })
+  const messages = new FleetMessageHandler({ clock, logger, self, configuration, groups, quotas, members, quotaRecord })
   const fleet = new Fleet({ state: members, network, store, clock, logger, ...messages.createHandlers() })
   const claims = new DutyClaims({ store, clock, logger, vm: settings.vm, incarnation })
-  const host = { clock, logger, vm: settings.vm, control, claims, promoter, ...messages.createPromotionCalls() }
+  const host = { clock, logger, vm: settings.vm, control, claims, promoter, ...messages.createPromotionCallbacks() }
   const recordResult = (service: string, result: string): void => metrics.promotions.inc({ service, result })
   const failover = new FailoverWatch({ clock, logger, members, host, listGroups: () => groups.list(), poll: () => fleet.poll(), recordResult })
   const permits = new PermitRequests({ clock, logger, windowMs: settings.quota.windowS * MS_PER_SECOND, counting, quotas, send: (vm, message) => fleet.send(vm, message) })
--- a/packages/gateway/src/fleet/configuration-fetch.ts
+++ b/packages/gateway/src/fleet/configuration-fetch.ts
@@ -1,7 +1,7 @@
 /** The store is given this long to deliver a version that another VM has, in milliseconds. */
-const STORE_FIRST_MS = 300
+const STORE_DELIVERY_WAIT_MS = 300
 /** A VM that has not sent its configuration after this long is given up, in milliseconds; a slow link takes a second for a large one. */
-const ANSWER_WAIT_MS = 2_000
+const VM_RESPONSE_TIMEOUT_MS = 2_000
 
 /**
  * When to ask another VM for its configuration, and which.
@@ -11,12 +11,12 @@
  */
 export interface ConfigurationFetch {
   /** Since when a later version than this VM's is known to exist; `null` while none is. */
-  behindSinceMs: number | null
-  askedAtMs: number
+  outdatedSinceMs: number | null
+  requestedAtMs: number
 }
 
 export function createConfigurationFetch (): ConfigurationFetch {
-  return { behindSinceMs: null, askedAtMs: -Infinity }
+  return { outdatedSinceMs: null, requestedAtMs: -Infinity }
 }
 
 /**
@@ -24,17 +24,17 @@
  *
  * @returns whether to ask that VM for it now
  */
-export function applyOfferedVersion (state: ConfigurationFetch, offered: number, own: number, nowMs: number): boolean {
-  if (offered <= own) return false
-  state.behindSinceMs ??= nowMs
-  const isStoreLate = own === 0 || nowMs - state.behindSinceMs >= STORE_FIRST_MS
-  if (!isStoreLate || nowMs - state.askedAtMs < ANSWER_WAIT_MS) return false
-  state.askedAtMs = nowMs
+export function applyReportedVersion (state: ConfigurationFetch, reportedVersion: number, localVersion: number, nowMs: number): boolean {
+  if (reportedVersion <= localVersion) return false
+  state.outdatedSinceMs ??= nowMs
+  const isStoreLate = localVersion === 0 || nowMs - state.outdatedSinceMs >= STORE_DELIVERY_WAIT_MS
+  if (!isStoreLate || nowMs - state.requestedAtMs < VM_RESPONSE_TIMEOUT_MS) return false
+  state.requestedAtMs = nowMs
   return true
 }
 
 /** Takes in that a configuration has come, from wherever. */
-export function recordConfiguration (state: ConfigurationFetch): void {
-  state.behindSinceMs = null
-  state.askedAtMs = -Infinity
+export function resetConfigurationFetch (state: ConfigurationFetch): void {
+  state.outdatedSinceMs = null
+  state.requestedAtMs = -Infinity
 }
--- a/packages/gateway/src/fleet/fleet-messages.ts
+++ b/packages/gateway/src/fleet/fleet-messages.ts
@@ -9,18 +9,18 @@
 import type { PermitRequests } from '../limits/permit-requests.ts'
 import type { QuotaKeeper } from '../limits/quota-keeper.ts'
 import type { Fleet, FleetOptions, Poll } from './fleet.ts'
-import { applyOfferedVersion, createConfigurationFetch, recordConfiguration } from './configuration-fetch.ts'
+import { applyReportedVersion, createConfigurationFetch, resetConfigurationFetch } from './configuration-fetch.ts'
 import { applyGroupReport, createGroupReport } from './group-reports.ts'
-import { listAnswering, listPossible, type MemberState } from './members.ts'
+import { listRecentlyResponsive, listPossible, type MemberState } from './members.ts'
 import { decodeGroupReport, encodeGroupReport, type FleetMessage, type Report, type VmEntry } from './messages.ts'
-import { addOwnPosition, RevocationCollector } from './revocations.ts'
+import { addLocalPosition, RevocationCollector } from './revocations.ts'
 
 /** Polls after a start that tell who asks. */
-const INTRODUCTIONS = 20
+const INTRODUCTORY_POLL_COUNT = 20
 /** Longest wait for writes that run at a primary that is to step down, in milliseconds. */
-const WRITES_WAIT_MS = 500
+const WRITE_COMPLETION_TIMEOUT_MS = 500
 
-export interface FleetMessagesOptions {
+export interface FleetMessageHandlerOptions {
   clock: Clock
   logger: Logger
   self: VmEntry
@@ -32,24 +32,24 @@
 }
 
 /** What this VM says to the others, and what it does on what they say. */
-export class FleetMessages {
-  readonly #options: FleetMessagesOptions
+export class FleetMessageHandler {
+  readonly #options: FleetMessageHandlerOptions
   readonly #revocations = new RevocationCollector()
-  readonly #fetch = createConfigurationFetch()
+  readonly #configurationFetch = createConfigurationFetch()
   #fleet: Fleet | undefined
   #failover: FailoverWatch | undefined
-  #permits: PermitRequests | undefined
-  #attempts = 0
+  #permitRequests: PermitRequests | undefined
+  #lastAttemptNumber = 0
 
-  constructor (options: FleetMessagesOptions) {
+  constructor (options: FleetMessageHandlerOptions) {
     this.#options = options
-    options.configuration.subscribe(() => recordConfiguration(this.#fetch))
+    options.configuration.subscribe(() => resetConfigurationFetch(this.#configurationFetch))
   }
 
-  connect (fleet: Fleet, failover: FailoverWatch, permits: PermitRequests): void {
+  connect (fleet: Fleet, failover: FailoverWatch, permitRequests: PermitRequests): void {
     this.#fleet = fleet
     this.#failover = failover
-    this.#permits = permits
+    this.#permitRequests = permitRequests
   }
 
   createHandlers (): Pick<FleetOptions, 'createReport' | 'createPoll' | 'applyReport' | 'handleMessage' | 'handleRound' | 'removeVm'> {
@@ -57,7 +57,7 @@
     return {
       createReport: poll => this.#createReport(poll),
       createPoll: sequence => this.#createPoll(sequence),
-      applyReport: (vm, report, askedAtMs) => this.#applyReport(vm, report, askedAtMs),
+      applyReport: (vm, report, pollSentAtMs) => this.#applyReport(vm, report, pollSentAtMs),
       handleMessage: (vm, message) => this.#handleMessage(vm, message),
       removeVm: vm => {
         quotas.removeVm(vm)
@@ -70,16 +70,16 @@
     }
   }
 
-  createPromotionCalls (): Pick<PromotionHost, 'revoke' | 'publishOutcome'> {
+  createPromotionCallbacks (): Pick<PromotionHost, 'revoke' | 'publishOutcome'> {
     return {
-      revoke: async (group, term, isPlanned, waitMs) => await this.#revoke(group, term, isPlanned, waitMs),
-      publishOutcome: (group, endpoint, term, ledAtMs) => this.#publishOutcome(group, endpoint, term, ledAtMs)
+      revoke: async (group, term, isPlanned, waitMs) => await this.#revokeLeadershipOnAllVms(group, term, isPlanned, waitMs),
+      publishOutcome: (group, endpoint, term, leadershipVerifiedAtMs) => this.#publishPromotionOutcome(group, endpoint, term, leadershipVerifiedAtMs)
     }
   }
 
   #createPoll (sequence: number): Poll {
     const { self, members } = this.#options
-    return { type: 'poll', sequence, vm: sequence <= INTRODUCTIONS ? self : undefined, vmsKnown: members.members.size + 1 }
+    return { type: 'poll', sequence, vm: sequence <= INTRODUCTORY_POLL_COUNT ? self : undefined, vmsKnown: members.members.size + 1 }
   }
 
   #createReport (poll: Poll): Report {
@@ -92,31 +92,31 @@
       demand: quotas.listDemand(),
       configurationVersion: configuration.version
     }
-    const answering = listAnswering(members, nowMs)
-    if (members.isListed && answering.length + 1 > poll.vmsKnown) report.vms = answering.map(m => m.entry)
+    const recentlyResponsive = listRecentlyResponsive(members, nowMs)
+    if (members.isListed && recentlyResponsive.length + 1 > poll.vmsKnown) report.vms = recentlyResponsive.map(m => m.entry)
     return report
   }
 
-  #applyReport (vm: string, report: Report, askedAtMs: number): void {
+  #applyReport (vm: string, report: Report, pollSentAtMs: number): void {
     const { configuration, groups, quotas, clock, logger } = this.#options
-    if (applyOfferedVersion(this.#fetch, report.configurationVersion, configuration.version, clock.readNow())) {
-      logger.info('configuration asked of a vm', { vm, version: report.configurationVersion, own: configuration.version })
+    if (applyReportedVersion(this.#configurationFetch, report.configurationVersion, configuration.version, clock.readNow())) {
+      logger.info('configuration asked of a vm', { vm, version: report.configurationVersion, localVersion: configuration.version })
       this.#fleet?.send(vm, { type: 'configurationWanted' })
     }
-    for (const g of report.groups.map(decodeGroupReport)) {
-      const group = groups.find(g.service)
-      if (group !== undefined) applyGroupReport(group, vm, g, askedAtMs)
+    for (const groupReport of report.groups.map(decodeGroupReport)) {
+      const group = groups.find(groupReport.service)
+      if (group !== undefined) applyGroupReport(group, vm, groupReport, pollSentAtMs)
     }
     quotas.recordVmDemand(vm, report.demand)
   }
 
   #handleMessage (vm: string, message: FleetMessage): void {
     if (message.type === 'revoked') this.#revocations.confirm(message.attempt, vm, message.acknowledged)
-    else if (message.type === 'promoted') this.#handleOutcome(vm, message)
+    else if (message.type === 'promoted') this.#handlePromotionOutcome(vm, message)
     else if (message.type === 'permit') this.#fleet?.send(vm, this.#options.quotas.answerPermit(message))
     else if (message.type === 'configurationWanted') this.#sendConfiguration(vm)
     else if (message.type === 'configurationOffered') this.#options.configuration.apply(message.configuration, `vm ${vm}`)
-    else if (message.type === 'permitted') this.#permits?.handleAnswer(vm, message)
+    else if (message.type === 'permitted') this.#permitRequests?.handleAnswer(vm, message)
     else if (message.type === 'revoke') {
       this.#handleRevoke(vm, message).catch((error: unknown) => this.#options.logger.error('revocation failed', { error: String(error) }))
     }
@@ -131,36 +131,36 @@
     const { service, endpoint, term, attempt, isPlanned } = message
     const group = this.#options.groups.find(service)
     if (group !== undefined) {
-      this.#options.logger.info('trust revoked', { service, endpoint, term, for: vm })
-      await this.#revokeOwn(group, endpoint, term, isPlanned)
+      this.#options.logger.info('trust revoked', { service, endpoint, term, requestedBy: vm })
+      await this.#revokeLocalLeadership(group, endpoint, term, isPlanned)
     }
     this.#fleet?.send(vm, { type: 'revoked', service, attempt, acknowledged: group?.state.acknowledged ?? undefined })
   }
 
-  async #revokeOwn (group: ServiceGroup, endpoint: string, term: number, isPlanned: boolean): Promise<void> {
+  async #revokeLocalLeadership (group: ServiceGroup, endpoint: string, term: number, isPlanned: boolean): Promise<void> {
     revokeTrust(group.state, endpoint, term, this.#options.clock.readNow())
-    if (isPlanned) await group.waitUntil(() => group.writesInFlight === 0, WRITES_WAIT_MS)
+    if (isPlanned) await group.waitUntil(() => group.writesInFlight === 0, WRITE_COMPLETION_TIMEOUT_MS)
   }
 
-  async #revoke (group: ServiceGroup, term: number, isPlanned: boolean, waitMs: number): Promise<Revocation> {
+  async #revokeLeadershipOnAllVms (group: ServiceGroup, term: number, isPlanned: boolean, waitMs: number): Promise<Revocation> {
     const { clock, members, self } = this.#options
     const endpoint = group.state.primary?.endpoint ?? ''
-    const attempt = `${self.vm}-${self.incarnation}-${++this.#attempts}`
+    const attempt = `${self.vm}-${self.incarnation}-${++this.#lastAttemptNumber}`
     const vms = listPossible(members, clock.readNow()).map(m => m.entry.vm)
-    const collecting = this.#revocations.collect(attempt, vms, waitMs)
+    const confirmations = this.#revocations.collect(attempt, vms, waitMs)
     for (const vm of vms) this.#fleet?.send(vm, { type: 'revoke', service: group.service, endpoint, term, attempt, isPlanned })
-    await this.#revokeOwn(group, endpoint, term, isPlanned)
-    return addOwnPosition(await collecting, group.state.acknowledged)
+    await this.#revokeLocalLeadership(group, endpoint, term, isPlanned)
+    return addLocalPosition(await confirmations, group.state.acknowledged)
   }
 
-  #publishOutcome (group: ServiceGroup, endpoint: string | null, term: number, ledAtMs: number): void {
+  #publishPromotionOutcome (group: ServiceGroup, endpoint: string | null, term: number, leadershipVerifiedAtMs: number): void {
     const message = { type: 'promoted' as const, service: group.service, endpoint: endpoint ?? undefined, term }
     for (const vm of this.#options.members.members.keys()) this.#fleet?.send(vm, message)
-    this.#handleOutcome(this.#options.self.vm, message)
-    if (endpoint !== null) recordLeadership(group.state, endpoint, ledAtMs)
+    this.#handlePromotionOutcome(this.#options.self.vm, message)
+    if (endpoint !== null) recordLeadership(group.state, endpoint, leadershipVerifiedAtMs)
   }
 
-  #handleOutcome (vm: string, { service, endpoint, term }: Extract<FleetMessage, { type: 'promoted' }>): void {
+  #handlePromotionOutcome (vm: string, { service, endpoint, term }: Extract<FleetMessage, { type: 'promoted' }>): void {
     const group = this.#options.groups.find(service)
     if (group === undefined) return
     if (endpoint === undefined) {
--- a/packages/gateway/src/fleet/fleet.ts
+++ b/packages/gateway/src/fleet/fleet.ts
@@ -2,25 +2,25 @@
 import type { z } from 'zod'
 import { RevisionConflictError, type MetadataStore } from '../metadata/metadata-store.ts'
 import { watchKind, type KindWatch } from '../metadata/watch-kind.ts'
-import { addMember, FORGET_AFTER_MS, isHeard, listPolled, measureMemberSilence, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
+import { addMember, REMOVE_ENTRY_AFTER_MS, isHeard, listPolled, measureUnansweredMs, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
 import { fleetMessageSchema, vmEntrySchema, type FleetMessage, type pollSchema, type Report } from './messages.ts'
 
 export const FLEET_SLICE = 'fleet'
 /** Time between two rounds of polls, in milliseconds. */
 const POLL_INTERVAL_MS = 500
 /** The same right after a start, when this VM knows nothing yet. */
-const FIRST_POLL_INTERVAL_MS = 150
-const FIRST_POLLS = 8
+const STARTUP_POLL_INTERVAL_MS = 150
+const STARTUP_ROUND_COUNT = 8
 /** VMs seldom come and go, and polls tell of new ones as well; in milliseconds. */
-const VMS_WATCH_MS = 15_000
+const VMS_WATCH_TIMEOUT_MS = 15_000
 /** Pause between two watches, in milliseconds: a fleet that starts together changes with every VM. */
 const VMS_WATCH_PAUSE_MS = 1_500
-const REGISTER_RETRY_MS = 700
+const REGISTRATION_RETRY_DELAY_MS = 700
 /** Time for the farewell to leave the process, in milliseconds. */
-const FAREWELL_MS = 30
-const SWEEP_ROUNDS = 20
+const LEFT_MESSAGE_FLUSH_MS = 30
+const ROUNDS_PER_MEMBER_SWEEP = 20
 /** Polls whose sending time is kept. */
-const MOST_POLLS = 64
+const MAX_TRACKED_POLLS = 64
 
 export type Poll = z.infer<typeof pollSchema>
 
@@ -33,7 +33,7 @@
   /** What this VM knows that a poll says less of. */
   createReport: (poll: Poll) => Report
   createPoll: (sequence: number) => Poll
-  applyReport: (vm: string, report: Report, askedAtMs: number) => void
+  applyReport: (vm: string, report: Report, pollSentAtMs: number) => void
   handleMessage: (vm: string, message: FleetMessage) => void
   handleRound: () => void
   /** A VM has ended by itself. */
@@ -43,12 +43,12 @@
 /** Knows the other VMs, and exchanges reports with them. */
 export class Fleet {
   readonly #options: FleetOptions
-  readonly #polls = new Map<number, number>()
-  #sequence = 0
+  readonly #pollSentAtMsBySequence = new Map<number, number>()
+  #lastPollSequence = 0
   #round = 0
-  #timer: NodeJS.Timeout | undefined
-  #watch: KindWatch<'vms'> | undefined
-  #ownRevision: number | null = null
+  #roundTimer: NodeJS.Timeout | undefined
+  #vmsWatch: KindWatch<'vms'> | undefined
+  #localEntryRevision: number | null = null
   #isStopped = false
 
   constructor (options: FleetOptions) {
@@ -56,17 +56,17 @@
   }
 
   get isRegistered (): boolean {
-    return this.#ownRevision !== null
+    return this.#localEntryRevision !== null
   }
 
   start (): void {
     const { network, store, logger } = this.#options
     network.subscribe(FLEET_SLICE, (from, body) => this.#receive(from, body))
-    this.#watch = watchKind({
+    this.#vmsWatch = watchKind({
       store,
       logger,
       kind: 'vms',
-      waitMs: VMS_WATCH_MS,
+      waitMs: VMS_WATCH_TIMEOUT_MS,
       pauseMs: VMS_WATCH_PAUSE_MS,
       applyListing: ({ items }) => {
         this.#options.state.isListed = true
@@ -86,9 +86,9 @@
   /** Polls now, as something depends on fresh reports. */
   poll (): void {
     const { state, network, clock, createPoll } = this.#options
-    const poll = createPoll(++this.#sequence)
-    this.#polls.set(this.#sequence, clock.readNow())
-    this.#polls.delete(this.#sequence - MOST_POLLS)
+    const poll = createPoll(++this.#lastPollSequence)
+    this.#pollSentAtMsBySequence.set(this.#lastPollSequence, clock.readNow())
+    this.#pollSentAtMsBySequence.delete(this.#lastPollSequence - MAX_TRACKED_POLLS)
     for (const member of listPolled(state, this.#round)) {
       recordPoll(member, clock.readNow())
       network.send(member.entry.vm, FLEET_SLICE, poll)
@@ -103,30 +103,30 @@
   async stop (): Promise<void> {
     const { state: { self, members }, store, logger } = this.#options
     this.#isStopped = true
-    clearTimeout(this.#timer)
-    this.#watch?.stop()
+    clearTimeout(this.#roundTimer)
+    this.#vmsWatch?.stop()
     for (const vm of members.keys()) this.send(vm, { type: 'left', incarnation: self.incarnation })
     try {
-      if (this.#ownRevision !== null) await store.delete('vms', self.vm, this.#ownRevision)
+      if (this.#localEntryRevision !== null) await store.delete('vms', self.vm, this.#localEntryRevision)
     } catch (error) {
       logger.info('own entry not removed', { reason: String(error) })
     }
-    await new Promise(resolve => setTimeout(resolve, FAREWELL_MS))
+    await new Promise(resolve => setTimeout(resolve, LEFT_MESSAGE_FLUSH_MS))
   }
 
   #scheduleRound (): void {
     if (this.#isStopped) return
-    this.#timer = setTimeout(() => {
+    this.#roundTimer = setTimeout(() => {
       this.#scheduleRound()
       this.#startRound()
-    }, this.#round < FIRST_POLLS ? FIRST_POLL_INTERVAL_MS : POLL_INTERVAL_MS)
+    }, this.#round < STARTUP_ROUND_COUNT ? STARTUP_POLL_INTERVAL_MS : POLL_INTERVAL_MS)
   }
 
   #startRound (): void {
     this.#round++
     this.poll()
     this.#options.handleRound()
-    if (this.#round % SWEEP_ROUNDS === 0) this.#removeForgotten()
+    if (this.#round % ROUNDS_PER_MEMBER_SWEEP === 0) this.#removeUnresponsiveMembers()
   }
 
   #receive (from: Hello, body: unknown): void {
@@ -153,15 +153,15 @@
   }
 
   #receiveReport (vm: string, report: Report): void {
-    const askedAtMs = this.#polls.get(report.sequence)
-    if (askedAtMs === undefined) return
+    const pollSentAtMs = this.#pollSentAtMsBySequence.get(report.sequence)
+    if (pollSentAtMs === undefined) return
     const { state, clock, logger, applyReport } = this.#options
     const member = state.members.get(vm)
     if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm heard', { vm })
-    recordReport(state, vm, askedAtMs)
+    recordReport(state, vm, pollSentAtMs)
     for (const entry of report.vms ?? []) this.#addEntry(entry)
     if (report.vms !== undefined) state.isListed = true
-    applyReport(vm, report, askedAtMs)
+    applyReport(vm, report, pollSentAtMs)
   }
 
   #addEntry (value: unknown): void {
@@ -173,18 +173,18 @@
 
   async #register (): Promise<void> {
     const { store, state: { self }, logger } = this.#options
-    for (let known: number | null = null; !this.#isStopped && this.#ownRevision === null;) {
+    for (let expectedRevision: number | null = null; !this.#isStopped && this.#localEntryRevision === null;) {
       try {
-        this.#ownRevision = await store.write('vms', self.vm, self, known)
+        this.#localEntryRevision = await store.write('vms', self.vm, self, expectedRevision)
         logger.info('registered', { vm: self.vm })
       } catch (error) {
-        known = error instanceof RevisionConflictError ? await this.#findOwnRevision() : known
-        if (!(error instanceof RevisionConflictError)) await new Promise(resolve => setTimeout(resolve, REGISTER_RETRY_MS))
+        expectedRevision = error instanceof RevisionConflictError ? await this.#findLocalEntryRevision() : expectedRevision
+        if (!(error instanceof RevisionConflictError)) await new Promise(resolve => setTimeout(resolve, REGISTRATION_RETRY_DELAY_MS))
       }
     }
   }
 
-  async #findOwnRevision (): Promise<number | null> {
+  async #findLocalEntryRevision (): Promise<number | null> {
     const { store, state: { self }, logger } = this.#options
     try {
       return (await store.find('vms', self.vm))?.revision ?? null
@@ -195,11 +195,11 @@
   }
 
   /** VMs that have been silent for long have gone for good. */
-  #removeForgotten (): void {
+  #removeUnresponsiveMembers (): void {
     const { state, clock, store, logger } = this.#options
     const nowMs = clock.readNow()
     for (const member of state.members.values()) {
-      if (measureMemberSilence(member, nowMs) < FORGET_AFTER_MS) continue
+      if (measureUnansweredMs(member, nowMs) < REMOVE_ENTRY_AFTER_MS) continue
       const { vm } = member.entry
       store.find('vms', vm).then(async found => { if (found !== undefined) await store.delete('vms', vm, found.revision) })
         .catch((error: unknown) => logger.info('entry of a lost vm not removed', { vm, reason: String(error) }))
--- a/packages/gateway/src/fleet/group-reports.test.ts
+++ b/packages/gateway/src/fleet/group-reports.test.ts
@@ -16,46 +16,46 @@
 }
 
 /** Passes what `from` knows at `sentAtMs` to `to`, whose question was sent at `askedAtMs`. */
-function pass (from: ServiceGroup, to: ServiceGroup, askedAtMs: number, sentAtMs: number): void {
-  const report = createGroupReport(from, sentAtMs)
-  if (report !== undefined) applyGroupReport(to, 'vm', decodeGroupReport(encodeGroupReport(report)), askedAtMs)
+function exchangeReport (from: ServiceGroup, to: ServiceGroup, pollSentAtMs: number, reportSentAtMs: number): void {
+  const report = createGroupReport(from, reportSentAtMs)
+  if (report !== undefined) applyGroupReport(to, 'vm', decodeGroupReport(encodeGroupReport(report)), pollSentAtMs)
 }
 
 describe('reports on groups', () => {
   it('pass on the primary, its proof and a position', () => {
-    const [one, two] = [createGroup(), createGroup()]
-    updatePrimary(one.state, 'p', 3)
-    recordCommit(one.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
-    recordAnswer(one.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
-    pass(one, two, 1_095, 1_100)
-    expect(two.state.primary).to.deep.equal({ endpoint: 'p', term: 3 })
-    expect(isPrimaryFresh(two.state, 0, 1_100)).to.equal(true)
-    expect(findRequiredPosition(two.state, 1_500, 1_200)).to.deep.equal({ term: 3, index: 7 })
-    expect(two.state.acknowledged).to.deep.equal({ term: 3, index: 7 })
+    const [reporter, receiver] = [createGroup(), createGroup()]
+    updatePrimary(reporter.state, 'p', 3)
+    recordCommit(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
+    recordAnswer(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
+    exchangeReport(reporter, receiver, 1_095, 1_100)
+    expect(receiver.state.primary).to.deep.equal({ endpoint: 'p', term: 3 })
+    expect(isPrimaryFresh(receiver.state, 0, 1_100)).to.equal(true)
+    expect(findRequiredPosition(receiver.state, 1_500, 1_200)).to.deep.equal({ term: 3, index: 7 })
+    expect(receiver.state.acknowledged).to.deep.equal({ term: 3, index: 7 })
   })
 
   it('never make a proof younger than it is, however long they travel', () => {
     const random = createSeededRandom(2)
     for (let run = 0; run < 1_000; run++) {
-      const [one, two] = [createGroup(), createGroup()]
-      updatePrimary(one.state, 'p', 1)
+      const [reporter, receiver] = [createGroup(), createGroup()]
+      updatePrimary(reporter.state, 'p', 1)
       const provenAtMs = 1_000 + random() * 100
-      recordCommit(one.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
-      recordAnswer(one.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
-      const askedAtMs = provenAtMs + 5 + random() * 300
-      pass(one, two, askedAtMs, askedAtMs + random() * 5_000)
-      expect(two.state.trustEndsMs).to.be.at.most(provenAtMs + LEADER_LEASE_MS)
-      expect(two.state.samples[0]?.atMs ?? 0).to.be.at.most(provenAtMs)
+      recordCommit(reporter.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
+      recordAnswer(reporter.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
+      const pollSentAtMs = provenAtMs + 5 + random() * 300
+      exchangeReport(reporter, receiver, pollSentAtMs, pollSentAtMs + random() * 5_000)
+      expect(receiver.state.trustEndsMs).to.be.at.most(provenAtMs + LEADER_LEASE_MS)
+      expect(receiver.state.samples[0]?.atMs ?? 0).to.be.at.most(provenAtMs)
     }
   })
 
   it('do not bring back a primary of an older term', () => {
-    const [one, two] = [createGroup(), createGroup()]
-    updatePrimary(one.state, 'old', 1)
-    recordCommit(one.state, 'old', 1_000, null, 1_010)
-    updatePrimary(two.state, 'new', 2)
-    pass(one, two, 1_020, 1_020)
-    expect(two.state.primary).to.deep.equal({ endpoint: 'new', term: 2 })
-    expect(isPrimaryFresh(two.state, 0, 1_030)).to.equal(false)
+    const [reporter, receiver] = [createGroup(), createGroup()]
+    updatePrimary(reporter.state, 'old', 1)
+    recordCommit(reporter.state, 'old', 1_000, null, 1_010)
+    updatePrimary(receiver.state, 'new', 2)
+    exchangeReport(reporter, receiver, 1_020, 1_020)
+    expect(receiver.state.primary).to.deep.equal({ endpoint: 'new', term: 2 })
+    expect(isPrimaryFresh(receiver.state, 0, 1_030)).to.equal(false)
   })
 })
--- a/packages/gateway/src/fleet/members.test.ts
+++ b/packages/gateway/src/fleet/members.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai'
-import { addMember, computeRank, createMemberState, FORGET_AFTER_MS, isHeard, listHeard, listPolled, listPossible, recordLeft, recordPoll, recordReport, UNHEARD_AFTER_MS, type MemberState } from './members.ts'
+import { addMember, computeRank, createMemberState, REMOVE_ENTRY_AFTER_MS, isHeard, listHeard, listPolled, listPossible, recordLeft, recordPoll, recordReport, UNRESPONSIVE_AFTER_MS, type MemberState } from './members.ts'
 import type { VmEntry } from './messages.ts'
 
 function createEntry (vm: string, incarnation = 1): VmEntry {
   return { vm, host: '10.0.0.1', port: 7_500, failureDomain: 'north', region: 'r', incarnation }
 }
 
-function createFleet (size: number, self = 0): MemberState {
+function createMembers (size: number, self = 0): MemberState {
   const state = createMemberState(createEntry(`vm-${self}`))
   for (let i = 0; i < size; i++) addMember(state, createEntry(`vm-${i}`))
   return state
@@ -14,7 +14,7 @@
 
 describe('members of the fleet', () => {
   it('are other VMs, the latest start of each', () => {
-    const state = createFleet(3)
+    const state = createMembers(3)
     expect([...state.members.keys()]).to.deep.equal(['vm-1', 'vm-2'])
     expect(addMember(state, createEntry('vm-1', 1))).to.equal(false)
     expect(addMember(state, createEntry('vm-1', 2))).to.equal(true)
@@ -22,23 +22,23 @@
   })
 
   it('count as heard until they have left a poll unanswered for a while', () => {
-    const state = createFleet(2)
+    const state = createMembers(2)
     const member = state.members.get('vm-1')!
     expect(isHeard(member, 0)).to.equal(false)
     recordPoll(member, 500)
     recordReport(state, 'vm-1', 500)
     recordPoll(member, 1_000)
     recordPoll(member, 1_500)
-    expect(isHeard(member, 1_000 + UNHEARD_AFTER_MS - 1)).to.equal(true)
-    expect(listHeard(state, 1_000 + UNHEARD_AFTER_MS)).to.deep.equal([])
-    expect(listPossible(state, 1_000 + UNHEARD_AFTER_MS)).to.have.length(1)
-    expect(listPossible(state, 1_000 + FORGET_AFTER_MS)).to.deep.equal([])
+    expect(isHeard(member, 1_000 + UNRESPONSIVE_AFTER_MS - 1)).to.equal(true)
+    expect(listHeard(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.deep.equal([])
+    expect(listPossible(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
+    expect(listPossible(state, 1_000 + REMOVE_ENTRY_AFTER_MS)).to.deep.equal([])
     recordReport(state, 'vm-1', 1_500)
-    expect(listHeard(state, 1_000 + UNHEARD_AFTER_MS)).to.have.length(1)
+    expect(listHeard(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
   })
 
   it('of a large fleet are all heard while each answers the polls that it gets in turn', () => {
-    const state = createFleet(300)
+    const state = createMembers(300)
     for (let round = 0; round < 200; round++) {
       const nowMs = round * 500
       for (const member of listPolled(state, round)) {
@@ -58,7 +58,7 @@
   })
 
   it('are gone once they say so, until they start again', () => {
-    const state = createFleet(2)
+    const state = createMembers(2)
     recordLeft(state, 'vm-1', 1)
     expect(state.members.size).to.equal(0)
     expect(addMember(state, createEntry('vm-1', 1))).to.equal(false)
@@ -68,8 +68,8 @@
   })
 
   it('are all polled in a small fleet, and in turn in a large one', () => {
-    expect(listPolled(createFleet(8), 3)).to.have.length(7)
-    const large = createFleet(76)
+    expect(listPolled(createMembers(8), 3)).to.have.length(7)
+    const large = createMembers(76)
     const polled = new Set<string>()
     for (let round = 0; round < 15; round++) for (const m of listPolled(large, round)) polled.add(m.entry.vm)
     expect(polled.size).to.equal(75)
@@ -78,7 +78,7 @@
 
   it('agree on an order in which to act', () => {
     const ranks = Array.from({ length: 5 }, (_, self) => {
-      const state = createFleet(5, self)
+      const state = createMembers(5, self)
       for (const vm of state.members.keys()) recordReport(state, vm, 100)
       return computeRank(state, 'orders', 200)
     })
--- a/packages/gateway/src/fleet/members.ts
+++ b/packages/gateway/src/fleet/members.ts
@@ -2,23 +2,23 @@
 import type { VmEntry } from './messages.ts'
 
 /** A VM that has left a poll unanswered for this long does not count as reachable, in milliseconds: three rounds of polls. */
-export const UNHEARD_AFTER_MS = 1_500
+export const UNRESPONSIVE_AFTER_MS = 1_500
 /** A VM silent for this long has its entry removed, in milliseconds. */
-export const FORGET_AFTER_MS = 60_000
+export const REMOVE_ENTRY_AFTER_MS = 60_000
 /** A VM silent for this long does not run any more, as far as anything that is safe without it needs to know. */
-const GONE_AFTER_MS = FORGET_AFTER_MS / 3
+const PRESUMED_STOPPED_AFTER_MS = REMOVE_ENTRY_AFTER_MS / 3
 /** Up to this many other VMs are all polled in each round. Source: letter 1, small sites run 8 to 9 VMs. */
-const MOST_POLLED_ALL = 8
+const MAX_MEMBERS_POLLED_EVERY_ROUND = 8
 /** VMs polled in a round of a larger fleet: with 76 VMs, polls are most of what an idle VM spends processor time on. */
-const POLLED_IN_TURN = 5
+const POLLED_PER_ROUND = 5
 /** Those of other regions among them: links between regions are dear, and carry the same news as those within. */
-const POLLED_ELSEWHERE = 1
+const POLLED_IN_OTHER_REGIONS_PER_ROUND = 1
 
 /** Another VM of the fleet. */
 export interface Member {
   entry: VmEntry
   /** When the last poll was sent that it has answered; `-Infinity` for none. */
-  heardAtMs: number
+  lastAnsweredPollSentAtMs: number
   /** When the first poll was sent that it has not answered since; `null` while it has answered all. */
   unansweredSinceMs: number | null
 }
@@ -45,9 +45,9 @@
  */
 export function addMember (state: MemberState, entry: VmEntry): boolean {
   if (entry.vm === state.self.vm || entry.incarnation <= (state.left.get(entry.vm) ?? -Infinity)) return false
-  const known = state.members.get(entry.vm)
-  if (known !== undefined && known.entry.incarnation >= entry.incarnation) return false
-  state.members.set(entry.vm, { entry, heardAtMs: -Infinity, unansweredSinceMs: null })
+  const existing = state.members.get(entry.vm)
+  if (existing !== undefined && existing.entry.incarnation >= entry.incarnation) return false
+  state.members.set(entry.vm, { entry, lastAnsweredPollSentAtMs: -Infinity, unansweredSinceMs: null })
   state.changes++
   return true
 }
@@ -58,8 +58,8 @@
 
 /** Takes in that a VM has ended by itself. */
 export function recordLeft (state: MemberState, vm: string, incarnation: number): void {
-  const known = state.members.get(vm)
-  if (known !== undefined && known.entry.incarnation > incarnation) return
+  const existing = state.members.get(vm)
+  if (existing !== undefined && existing.entry.incarnation > incarnation) return
   state.left.set(vm, incarnation)
   removeMember(state, vm)
 }
@@ -71,17 +71,17 @@
 export function recordReport (state: MemberState, vm: string, pollSentAtMs: number): void {
   const member = state.members.get(vm)
   if (member === undefined) return
-  member.heardAtMs = Math.max(member.heardAtMs, pollSentAtMs)
+  member.lastAnsweredPollSentAtMs = Math.max(member.lastAnsweredPollSentAtMs, pollSentAtMs)
   if (member.unansweredSinceMs !== null && pollSentAtMs >= member.unansweredSinceMs) member.unansweredSinceMs = null
 }
 
 /** For how long a VM has left polls unanswered, in milliseconds; 0 while it answers, or was never asked. */
-export function measureMemberSilence ({ unansweredSinceMs }: Member, nowMs: number): number {
+export function measureUnansweredMs ({ unansweredSinceMs }: Member, nowMs: number): number {
   return unansweredSinceMs === null ? 0 : nowMs - unansweredSinceMs
 }
 
 export function isHeard (member: Member, nowMs: number): boolean {
-  return member.heardAtMs > -Infinity && measureMemberSilence(member, nowMs) < UNHEARD_AFTER_MS
+  return member.lastAnsweredPollSentAtMs > -Infinity && measureUnansweredMs(member, nowMs) < UNRESPONSIVE_AFTER_MS
 }
 
 /** VMs that answer, this one not included. */
@@ -91,32 +91,32 @@
 
 /** VMs that may be running: those that answer, and those that have not been silent for long. */
 export function listPossible (state: MemberState, nowMs: number): Member[] {
-  return [...state.members.values()].filter(m => measureMemberSilence(m, nowMs) < GONE_AFTER_MS)
+  return [...state.members.values()].filter(m => measureUnansweredMs(m, nowMs) < PRESUMED_STOPPED_AFTER_MS)
 }
 
 /** VMs that have answered not long ago. Only these are told to others, so that none that is gone comes back by hearsay. */
-export function listAnswering (state: MemberState, nowMs: number): Member[] {
-  return listPossible(state, nowMs).filter(m => m.heardAtMs > -Infinity)
+export function listRecentlyResponsive (state: MemberState, nowMs: number): Member[] {
+  return listPossible(state, nowMs).filter(m => m.lastAnsweredPollSentAtMs > -Infinity)
 }
 
 /** VMs to poll in a round: all of a small fleet; of a large one a part, mostly of this region, that moves on with each round. */
 export function listPolled (state: MemberState, round: number): Member[] {
-  const all = [...state.members.values()].sort((a, b) => a.entry.vm < b.entry.vm ? -1 : 1)
-  if (all.length <= MOST_POLLED_ALL) return all
-  const near = all.filter(m => m.entry.region === state.self.region)
-  const far = all.filter(m => m.entry.region !== state.self.region)
-  const nearCount = Math.min(near.length, POLLED_IN_TURN - Math.min(POLLED_ELSEWHERE, far.length))
-  return [...pickInTurn(near, nearCount, round), ...pickInTurn(far, POLLED_IN_TURN - nearCount, round)]
+  const sortedMembers = [...state.members.values()].sort((a, b) => a.entry.vm < b.entry.vm ? -1 : 1)
+  if (sortedMembers.length <= MAX_MEMBERS_POLLED_EVERY_ROUND) return sortedMembers
+  const sameRegion = sortedMembers.filter(m => m.entry.region === state.self.region)
+  const otherRegions = sortedMembers.filter(m => m.entry.region !== state.self.region)
+  const sameRegionCount = Math.min(sameRegion.length, POLLED_PER_ROUND - Math.min(POLLED_IN_OTHER_REGIONS_PER_ROUND, otherRegions.length))
+  return [...pickRoundRobin(sameRegion, sameRegionCount, round), ...pickRoundRobin(otherRegions, POLLED_PER_ROUND - sameRegionCount, round)]
 }
 
-function pickInTurn (members: readonly Member[], count: number, round: number): Member[] {
+function pickRoundRobin (members: readonly Member[], count: number, round: number): Member[] {
   const start = round * count
   return Array.from({ length: Math.min(count, members.length) }, (_, i) => members[(start + i) % members.length]!)
 }
 
 /** Place of this VM among those that answer, for a service; 0 acts first. */
 export function computeRank (state: MemberState, service: string, nowMs: number): number {
-  const key = hashName(service)
-  const own = hashPair(key, hashName(state.self.vm))
-  return listHeard(state, nowMs).filter(m => hashPair(key, hashName(m.entry.vm)) < own).length
+  const serviceHash = hashName(service)
+  const localHash = hashPair(serviceHash, hashName(state.self.vm))
+  return listHeard(state, nowMs).filter(m => hashPair(serviceHash, hashName(m.entry.vm)) < localHash).length
 }
--- a/packages/gateway/src/fleet/messages.ts
+++ b/packages/gateway/src/fleet/messages.ts
@@ -24,35 +24,35 @@
   acknowledged: LogPosition | null
   acknowledgedAgeMs: number | null
   /** Age of the primary's last answer to the VM. */
-  heardAgeMs: number | null
+  primaryResponseAgeMs: number | null
   /** For how long the VM's oldest write at the primary has gone without an answer; 0 for none. */
-  pendingWriteMs: number
+  pendingWriteAgeMs: number
 }
 
-const age = z.number().nullable()
-const position = z.tuple([z.number().int(), z.number().int()]).nullable()
+const ageMsSchema = z.number().nullable()
+const positionSchema = z.tuple([z.number().int(), z.number().int()]).nullable()
 
 /** A group's report on the wire: fields without names, as reports make up most of the traffic between VMs. */
-export const groupReportSchema = z.tuple([z.string(), z.string(), z.number().int(), age, age, position, position, age, age, z.number()])
+export const groupReportSchema = z.tuple([z.string(), z.string(), z.number().int(), ageMsSchema, ageMsSchema, positionSchema, positionSchema, ageMsSchema, ageMsSchema, z.number()])
 export type EncodedGroupReport = z.infer<typeof groupReportSchema>
 
-function encodePosition (p: LogPosition | null | undefined): [number, number] | null {
-  return p === null || p === undefined ? null : [p.term, p.index]
+function encodePosition (position: LogPosition | null | undefined): [number, number] | null {
+  return position === null || position === undefined ? null : [position.term, position.index]
 }
 
-function decodePosition (p: [number, number] | null): LogPosition | null {
-  return p === null ? null : { term: p[0], index: p[1] }
+function decodePosition (encoded: [number, number] | null): LogPosition | null {
+  return encoded === null ? null : { term: encoded[0], index: encoded[1] }
 }
 
-export function encodeGroupReport (r: GroupReport): EncodedGroupReport {
-  return [r.service, r.primary, r.term, r.leadershipAgeMs, r.sample?.ageMs ?? null, encodePosition(r.sample?.position), encodePosition(r.acknowledged), r.acknowledgedAgeMs, r.heardAgeMs, r.pendingWriteMs]
+export function encodeGroupReport (report: GroupReport): EncodedGroupReport {
+  return [report.service, report.primary, report.term, report.leadershipAgeMs, report.sample?.ageMs ?? null, encodePosition(report.sample?.position), encodePosition(report.acknowledged), report.acknowledgedAgeMs, report.primaryResponseAgeMs, report.pendingWriteAgeMs]
 }
 
 export function decodeGroupReport (encoded: EncodedGroupReport): GroupReport {
-  const [service, primary, term, leadershipAgeMs, sampleAgeMs, samplePosition, acknowledged, acknowledgedAgeMs, heardAgeMs, pendingWriteMs] = encoded
-  const sampled = decodePosition(samplePosition)
-  const sample = sampleAgeMs === null || sampled === null ? null : { ageMs: sampleAgeMs, position: sampled }
-  return { service, primary, term, leadershipAgeMs, sample, acknowledged: decodePosition(acknowledged), acknowledgedAgeMs, heardAgeMs, pendingWriteMs }
+  const [service, primary, term, leadershipAgeMs, sampleAgeMs, samplePosition, acknowledged, acknowledgedAgeMs, primaryResponseAgeMs, pendingWriteAgeMs] = encoded
+  const decodedSamplePosition = decodePosition(samplePosition)
+  const sample = sampleAgeMs === null || decodedSamplePosition === null ? null : { ageMs: sampleAgeMs, position: decodedSamplePosition }
+  return { service, primary, term, leadershipAgeMs, sample, acknowledged: decodePosition(acknowledged), acknowledgedAgeMs, primaryResponseAgeMs, pendingWriteAgeMs }
 }
 
 /** Asks a VM for its report. */
--- a/packages/gateway/src/fleet/revocations.ts
+++ b/packages/gateway/src/fleet/revocations.ts
@@ -1,26 +1,26 @@
 import { pickLaterPosition, type LogPosition } from '@camphorpitch/wire'
 import type { Revocation } from '../failover/run-promotion.ts'
 
-interface OpenRevocation {
-  missing: Set<string>
+interface PendingRevocation {
+  unconfirmedVms: Set<string>
   acknowledged: LogPosition | null
   finish: () => void
 }
 
 /** Adds what this VM itself knows to be acknowledged to what the others have told. */
-export function addOwnPosition (revocation: Revocation, acknowledged: LogPosition | null): Revocation {
+export function addLocalPosition (revocation: Revocation, acknowledged: LogPosition | null): Revocation {
   if (acknowledged === null) return revocation
   return { ...revocation, acknowledged: pickLaterPosition(revocation.acknowledged, acknowledged) }
 }
 
 /** Collects the confirmations of other VMs that they no longer trust a primary. */
 export class RevocationCollector {
-  readonly #open = new Map<string, OpenRevocation>()
+  readonly #pending = new Map<string, PendingRevocation>()
 
   /** Waits for the VMs' confirmations of an attempt. */
   async collect (attempt: string, vms: readonly string[], waitMs: number): Promise<Revocation> {
-    const revocation: OpenRevocation = { missing: new Set(vms), acknowledged: null, finish: () => {} }
-    this.#open.set(attempt, revocation)
+    const revocation: PendingRevocation = { unconfirmedVms: new Set(vms), acknowledged: null, finish: () => {} }
+    this.#pending.set(attempt, revocation)
     await new Promise<void>(resolve => {
       const timer = setTimeout(resolve, waitMs)
       revocation.finish = () => {
@@ -29,15 +29,15 @@
       }
       if (vms.length === 0) revocation.finish()
     })
-    this.#open.delete(attempt)
-    return { isEveryVmHeard: revocation.missing.size === 0, acknowledged: revocation.acknowledged }
+    this.#pending.delete(attempt)
+    return { isEveryVmHeard: revocation.unconfirmedVms.size === 0, acknowledged: revocation.acknowledged }
   }
 
   confirm (attempt: string, vm: string, acknowledged: LogPosition | undefined): void {
-    const revocation = this.#open.get(attempt)
+    const revocation = this.#pending.get(attempt)
     if (revocation === undefined) return
-    revocation.missing.delete(vm)
+    revocation.unconfirmedVms.delete(vm)
     if (acknowledged !== undefined) revocation.acknowledged = pickLaterPosition(revocation.acknowledged, acknowledged)
-    if (revocation.missing.size === 0) revocation.finish()
+    if (revocation.unconfirmedVms.size === 0) revocation.finish()
   }
 }
