--- a/packages/gateway/src/fleet/configuration-fetch.ts
+++ b/packages/gateway/src/fleet/configuration-fetch.ts
@@ -1,17 +1,18 @@
-/** The store is given this long to deliver a version that another VM has, in milliseconds. */
+/** How long the store may take to deliver a version that another VM reports before that VM is requested to send it. */
 const STORE_DELIVERY_WAIT_MS = 300
-/** A VM that has not sent its configuration after this long is given up, in milliseconds; a slow link takes a second for a large one. */
+/** How long to wait for one VM's configuration before another VM is tried; a large one takes a second over a slow link. */
 const VM_RESPONSE_TIMEOUT_MS = 2_000
 
 /**
- * When to ask another VM for its configuration, and which.
+ * State that decides when to request the configuration from another VM, and from which one.
  *
- * The load pattern: many VMs of a large fleet are turned away by the store while a large configuration changes.
- * Each asks one VM at a time, so that links carry it once for each VM, whatever the number of VMs that have it.
+ * While a large configuration changes, the store rejects requests from many VMs of a large fleet. Each of them
+ * requests it from one VM at a time, so that it is transferred once per VM, however many VMs could send it.
  */
 export interface ConfigurationFetch {
-  /** Since when a later version than this VM's is known to exist; `null` while none is. */
+  /** When a version later than the local one was first reported; `null` while the local version is the latest known. */
   outdatedSinceMs: number | null
+  /** When a VM was last requested to send its configuration; `-Infinity` while no request is pending. */
   requestedAtMs: number
 }
 
@@ -20,9 +21,9 @@
 }
 
 /**
- * Takes in the version that another VM has.
+ * Applies the configuration version that another VM reports. A returned `true` is recorded as a request sent.
  *
- * @returns whether to ask that VM for it now
+ * @returns whether to request the configuration from that VM now
  */
 export function applyReportedVersion (state: ConfigurationFetch, reportedVersion: number, localVersion: number, nowMs: number): boolean {
   if (reportedVersion <= localVersion) return false
@@ -33,7 +34,7 @@
   return true
 }
 
-/** Takes in that a configuration has come, from wherever. */
+/** Ends the pending request once a configuration has been applied, whether it came from the store or from a VM. */
 export function resetConfigurationFetch (state: ConfigurationFetch): void {
   state.outdatedSinceMs = null
   state.requestedAtMs = -Infinity
--- a/packages/gateway/src/fleet/fleet-messages.ts
+++ b/packages/gateway/src/fleet/fleet-messages.ts
@@ -15,9 +15,9 @@
 import { decodeGroupReport, encodeGroupReport, type FleetMessage, type Report, type VmEntry } from './messages.ts'
 import { addLocalPosition, RevocationCollector } from './revocations.ts'
 
-/** Polls after a start that tell who asks. */
+/** Number of polls after a start that carry the sender's VM entry, for VMs that do not know it yet. */
 const INTRODUCTORY_POLL_COUNT = 20
-/** Longest wait for writes that run at a primary that is to step down, in milliseconds. */
+/** Longest wait for writes in flight to a primary that is about to step down. */
 const WRITE_COMPLETION_TIMEOUT_MS = 500
 
 export interface FleetMessageHandlerOptions {
@@ -31,7 +31,7 @@
   quotaRecord: QuotaRecord
 }
 
-/** What this VM says to the others, and what it does on what they say. */
+/** Creates the messages that this VM sends to the other VMs, and handles those that it receives from them. */
 export class FleetMessageHandler {
   readonly #options: FleetMessageHandlerOptions
   readonly #revocations = new RevocationCollector()
@@ -46,6 +46,7 @@
     options.configuration.subscribe(() => resetConfigurationFetch(this.#configurationFetch))
   }
 
+  /** Sets the slices that messages are passed to; they are created after this handler. */
   connect (fleet: Fleet, failover: FailoverWatch, permitRequests: PermitRequests): void {
     this.#fleet = fleet
     this.#failover = failover
@@ -100,7 +101,7 @@
   #applyReport (vm: string, report: Report, pollSentAtMs: number): void {
     const { configuration, groups, quotas, clock, logger } = this.#options
     if (applyReportedVersion(this.#configurationFetch, report.configurationVersion, configuration.version, clock.readNow())) {
-      logger.info('configuration asked of a vm', { vm, version: report.configurationVersion, localVersion: configuration.version })
+      logger.info('configuration requested from another vm', { vm, version: report.configurationVersion, localVersion: configuration.version })
       this.#fleet?.send(vm, { type: 'configurationWanted' })
     }
     for (const groupReport of report.groups.map(decodeGroupReport)) {
@@ -118,7 +119,7 @@
     else if (message.type === 'configurationOffered') this.#options.configuration.apply(message.configuration, `vm ${vm}`)
     else if (message.type === 'permitted') this.#permitRequests?.handleAnswer(vm, message)
     else if (message.type === 'revoke') {
-      this.#handleRevoke(vm, message).catch((error: unknown) => this.#options.logger.error('revocation failed', { error: String(error) }))
+      this.#handleRevoke(vm, message).catch((error: unknown) => this.#options.logger.error('leadership revocation failed', { error: String(error) }))
     }
   }
 
@@ -131,7 +132,7 @@
     const { service, endpoint, term, attempt, isPlanned } = message
     const group = this.#options.groups.find(service)
     if (group !== undefined) {
-      this.#options.logger.info('trust revoked', { service, endpoint, term, requestedBy: vm })
+      this.#options.logger.info('verified leadership revoked at the request of another vm', { service, endpoint, term, requestedBy: vm })
       await this.#revokeLocalLeadership(group, endpoint, term, isPlanned)
     }
     this.#fleet?.send(vm, { type: 'revoked', service, attempt, acknowledged: group?.state.acknowledged ?? undefined })
@@ -170,6 +171,6 @@
     }
     this.#failover?.recordChange(service)
     group.adoptPrimary(endpoint, term, `promoted by ${vm}`)
-    if (vm !== this.#options.self.vm) this.#fleet?.poll() // The promoter's report proves that the primary leads.
+    if (vm !== this.#options.self.vm) this.#fleet?.poll() // The promoting VM's report carries the proof that the new primary leads.
   }
 }
--- a/packages/gateway/src/fleet/fleet.ts
+++ b/packages/gateway/src/fleet/fleet.ts
@@ -6,20 +6,22 @@
 import { fleetMessageSchema, vmEntrySchema, type FleetMessage, type pollSchema, type Report } from './messages.ts'
 
 export const FLEET_SLICE = 'fleet'
-/** Time between two rounds of polls, in milliseconds. */
+/** Time between two rounds of polls. */
 const POLL_INTERVAL_MS = 500
-/** The same right after a start, when this VM knows nothing yet. */
+/** Time between two rounds of polls right after a start: shorter, as this VM has no reports yet. */
 const STARTUP_POLL_INTERVAL_MS = 150
+/** Number of rounds after a start with the shorter interval. */
 const STARTUP_ROUND_COUNT = 8
-/** VMs seldom come and go, and polls tell of new ones as well; in milliseconds. */
+/** Duration of one watch of the VM entries: VMs are seldom added or removed, and reports list new VMs as well. */
 const VMS_WATCH_TIMEOUT_MS = 15_000
-/** Pause between two watches, in milliseconds: a fleet that starts together changes with every VM. */
+/** Pause between two watches of the VM entries: when a whole fleet starts, every VM that registers changes them. */
 const VMS_WATCH_PAUSE_MS = 1_500
 const REGISTRATION_RETRY_DELAY_MS = 700
-/** Time for the farewell to leave the process, in milliseconds. */
+/** Time for the `left` messages to be sent before the process ends. */
 const LEFT_MESSAGE_FLUSH_MS = 30
+/** Rounds of polls between two removals of unresponsive VMs. */
 const ROUNDS_PER_MEMBER_SWEEP = 20
-/** Polls whose sending time is kept. */
+/** Number of latest polls whose sending time is kept; reports that answer an older poll are ignored. */
 const MAX_TRACKED_POLLS = 64
 
 export type Poll = z.infer<typeof pollSchema>
@@ -30,17 +32,20 @@
   store: MetadataStore
   clock: Clock
   logger: Logger
-  /** What this VM knows that a poll says less of. */
+  /** Creates the response to another VM's poll. */
   createReport: (poll: Poll) => Report
   createPoll: (sequence: number) => Poll
+  /** Applies the report with which `vm` answered a poll that was sent at `pollSentAtMs`. */
   applyReport: (vm: string, report: Report, pollSentAtMs: number) => void
+  /** Handles every message other than polls, reports and `left`. */
   handleMessage: (vm: string, message: FleetMessage) => void
+  /** Called after the polls of each round have been sent. */
   handleRound: () => void
-  /** A VM has ended by itself. */
+  /** Called when a VM has announced that it leaves the fleet. */
   removeVm: (vm: string) => void
 }
 
-/** Knows the other VMs, and exchanges reports with them. */
+/** Keeps the list of the other VMs up to date, and exchanges reports with them. */
 export class Fleet {
   readonly #options: FleetOptions
   readonly #pollSentAtMsBySequence = new Map<number, number>()
@@ -79,11 +84,11 @@
         }
       }
     })
-    this.#register().catch((error: unknown) => logger.error('registration ended', { error: String(error) }))
+    this.#register().catch((error: unknown) => logger.error('vm registration failed', { error: String(error) }))
     this.#scheduleRound()
   }
 
-  /** Polls now, as something depends on fresh reports. */
+  /** Sends polls now, for a caller that needs up-to-date reports before the next round. */
   poll (): void {
     const { state, network, clock, createPoll } = this.#options
     const poll = createPoll(++this.#lastPollSequence)
@@ -99,7 +104,7 @@
     this.#options.network.send(vm, FLEET_SLICE, message)
   }
 
-  /** Tells the others that this VM ends, and removes its entry. */
+  /** Announces to the other VMs that this VM leaves the fleet, and removes its entry from the store. */
   async stop (): Promise<void> {
     const { state: { self, members }, store, logger } = this.#options
     this.#isStopped = true
@@ -109,7 +114,7 @@
     try {
       if (this.#localEntryRevision !== null) await store.delete('vms', self.vm, this.#localEntryRevision)
     } catch (error) {
-      logger.info('own entry not removed', { reason: String(error) })
+      logger.info('removal of the local vm entry failed', { reason: String(error) })
     }
     await new Promise(resolve => setTimeout(resolve, LEFT_MESSAGE_FLUSH_MS))
   }
@@ -133,7 +138,7 @@
     const { logger, network, createReport, handleMessage } = this.#options
     const parsed = fleetMessageSchema.safeParse(body)
     if (!parsed.success) {
-      logger.warn('malformed message of a VM', { vm: from.vm, reason: parsed.error.message })
+      logger.warn('malformed message from another vm', { vm: from.vm, reason: parsed.error.message })
       return
     }
     const message = parsed.data
@@ -147,7 +152,7 @@
 
   #handleLeft (vm: string, incarnation: number): void {
     const { state, logger, removeVm } = this.#options
-    logger.info('vm left', { vm })
+    logger.info('vm left the fleet', { vm })
     recordLeft(state, vm, incarnation)
     removeVm(vm)
   }
@@ -157,7 +162,7 @@
     if (pollSentAtMs === undefined) return
     const { state, clock, logger, applyReport } = this.#options
     const member = state.members.get(vm)
-    if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm heard', { vm })
+    if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm became responsive', { vm })
     recordReport(state, vm, pollSentAtMs)
     for (const entry of report.vms ?? []) this.#addEntry(entry)
     if (report.vms !== undefined) state.isListed = true
@@ -168,7 +173,7 @@
     const { state, logger } = this.#options
     const parsed = vmEntrySchema.safeParse(value)
     if (!parsed.success) return
-    if (addMember(state, parsed.data)) logger.info('vm known', { ...parsed.data })
+    if (addMember(state, parsed.data)) logger.info('vm added to the members of the fleet', { ...parsed.data })
   }
 
   async #register (): Promise<void> {
@@ -176,7 +181,7 @@
     for (let expectedRevision: number | null = null; !this.#isStopped && this.#localEntryRevision === null;) {
       try {
         this.#localEntryRevision = await store.write('vms', self.vm, self, expectedRevision)
-        logger.info('registered', { vm: self.vm })
+        logger.info('local vm entry registered', { vm: self.vm })
       } catch (error) {
         expectedRevision = error instanceof RevisionConflictError ? await this.#findLocalEntryRevision() : expectedRevision
         if (!(error instanceof RevisionConflictError)) await new Promise(resolve => setTimeout(resolve, REGISTRATION_RETRY_DELAY_MS))
@@ -189,12 +194,12 @@
     try {
       return (await store.find('vms', self.vm))?.revision ?? null
     } catch (error) {
-      logger.info('own entry not read', { reason: String(error) })
+      logger.info('lookup of the local vm entry failed', { reason: String(error) })
       return null
     }
   }
 
-  /** VMs that have been silent for long have gone for good. */
+  /** Removes VMs that have left polls unanswered for so long that they are taken as stopped for good. */
   #removeUnresponsiveMembers (): void {
     const { state, clock, store, logger } = this.#options
     const nowMs = clock.readNow()
@@ -202,9 +207,9 @@
       if (measureUnansweredMs(member, nowMs) < REMOVE_ENTRY_AFTER_MS) continue
       const { vm } = member.entry
       store.find('vms', vm).then(async found => { if (found !== undefined) await store.delete('vms', vm, found.revision) })
-        .catch((error: unknown) => logger.info('entry of a lost vm not removed', { vm, reason: String(error) }))
+        .catch((error: unknown) => logger.info('removal of an unresponsive vm entry failed', { vm, reason: String(error) }))
       removeMember(state, vm)
-      logger.info('vm forgotten', { vm })
+      logger.info('unresponsive vm removed from the members of the fleet', { vm })
     }
   }
 }
--- a/packages/gateway/src/fleet/group-reports.test.ts
+++ b/packages/gateway/src/fleet/group-reports.test.ts
@@ -15,14 +15,14 @@
   return new ServiceGroup({ service: 's', connector: new NoConnector(), clock: new VirtualClock(), logger: createLogger({ process: 'test', level: 'silent' }), readLimits: () => ({ kept: 1, most: 1 }), recordOpened: () => {} })
 }
 
-/** Passes what `from` knows at `sentAtMs` to `to`, whose question was sent at `askedAtMs`. */
+/** Reports what `from` knows at `reportSentAtMs` to `to`, whose poll was sent at `pollSentAtMs`. */
 function exchangeReport (from: ServiceGroup, to: ServiceGroup, pollSentAtMs: number, reportSentAtMs: number): void {
   const report = createGroupReport(from, reportSentAtMs)
   if (report !== undefined) applyGroupReport(to, 'vm', decodeGroupReport(encodeGroupReport(report)), pollSentAtMs)
 }
 
-describe('reports on groups', () => {
-  it('pass on the primary, its proof and a position', () => {
+describe('group reports', () => {
+  it('carry the primary, the proof of its leadership and the acknowledged position', () => {
     const [reporter, receiver] = [createGroup(), createGroup()]
     updatePrimary(reporter.state, 'p', 3)
     recordCommit(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
@@ -34,7 +34,7 @@
     expect(receiver.state.acknowledged).to.deep.equal({ term: 3, index: 7 })
   })
 
-  it('never make a proof younger than it is, however long they travel', () => {
+  it('never make a proof of leadership look younger than it is, however long they take to arrive', () => {
     const random = createSeededRandom(2)
     for (let run = 0; run < 1_000; run++) {
       const [reporter, receiver] = [createGroup(), createGroup()]
@@ -49,7 +49,7 @@
     }
   })
 
-  it('do not bring back a primary of an older term', () => {
+  it('do not replace the primary by one of an older term', () => {
     const [reporter, receiver] = [createGroup(), createGroup()]
     updatePrimary(reporter.state, 'old', 1)
     recordCommit(reporter.state, 'old', 1_000, null, 1_010)
--- a/packages/gateway/src/fleet/group-reports.ts
+++ b/packages/gateway/src/fleet/group-reports.ts
@@ -2,12 +2,12 @@
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { GroupReport } from './messages.ts'
 
-/** Age of something in whole milliseconds, rounded up; `null` for what never was. */
+/** Measures the age of an event in whole milliseconds, rounded up; `null` for one that has not happened (`-Infinity`). */
 function measureAgeMs (atMs: number, nowMs: number): number | null {
   return atMs === -Infinity ? null : Math.ceil(Math.max(0, nowMs - atMs))
 }
 
-/** Describes what this VM knows of a group; `undefined` while it knows no primary. */
+/** Describes what this VM knows about a group; `undefined` while it knows no primary. */
 export function createGroupReport (group: ServiceGroup, nowMs: number): GroupReport | undefined {
   const { primary, trustEndsMs, samples, acknowledged, acknowledgedAtMs, heardAtMs } = group.state
   if (primary === null) return undefined
@@ -26,10 +26,11 @@
 }
 
 /**
- * Takes in what another VM reports.
+ * Applies what another VM reports about a group.
  *
- * The report was made after `askedAtMs`, so whatever it gives an age for happened no earlier than that age before.
- * That bound is used throughout: it makes proofs look older than they are, never younger.
+ * The report was created after the poll was sent at `pollSentAtMs`. An event of a given age therefore happened no
+ * earlier than that age before `pollSentAtMs`. This earliest time is used for every event, so that a proof of
+ * leadership looks older than it is, never younger.
  */
 export function applyGroupReport (group: ServiceGroup, vm: string, report: GroupReport, pollSentAtMs: number): void {
   const { state } = group
--- a/packages/gateway/src/fleet/members.test.ts
+++ b/packages/gateway/src/fleet/members.test.ts
@@ -12,8 +12,8 @@
   return state
 }
 
-describe('members of the fleet', () => {
-  it('are other VMs, the latest start of each', () => {
+describe('fleet members', () => {
+  it('are the other VMs, each with its latest incarnation', () => {
     const state = createMembers(3)
     expect([...state.members.keys()]).to.deep.equal(['vm-1', 'vm-2'])
     expect(addMember(state, createEntry('vm-1', 1))).to.equal(false)
@@ -21,7 +21,7 @@
     expect(addMember(state, createEntry('vm-1', 1))).to.equal(false)
   })
 
-  it('count as heard until they have left a poll unanswered for a while', () => {
+  it('count as responsive until they have left a poll unanswered for too long', () => {
     const state = createMembers(2)
     const member = state.members.get('vm-1')!
     expect(isHeard(member, 0)).to.equal(false)
@@ -37,7 +37,7 @@
     expect(listHeard(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
   })
 
-  it('of a large fleet are all heard while each answers the polls that it gets in turn', () => {
+  it('are all responsive in a large fleet in which each VM answers the polls that it receives in turn', () => {
     const state = createMembers(300)
     for (let round = 0; round < 200; round++) {
       const nowMs = round * 500
@@ -49,7 +49,7 @@
     expect(listHeard(state, 200 * 500)).to.have.length(299)
   })
 
-  it('of a large fleet are polled mostly in this region, and the others in turn', () => {
+  it('are polled mostly in the local region in a large fleet, with those of other regions in turn', () => {
     const state = createMemberState(createEntry('vm-0'))
     for (let i = 1; i < 71; i++) addMember(state, { ...createEntry(`vm-${i}`), region: i % 3 === 0 ? 'r' : 'elsewhere' })
     const polled = Array.from({ length: 50 }, (_, round) => listPolled(state, round))
@@ -57,7 +57,7 @@
     expect(new Set(polled.flat()).size).to.equal(70)
   })
 
-  it('are gone once they say so, until they start again', () => {
+  it('are removed once they announce their end, until they start again', () => {
     const state = createMembers(2)
     recordLeft(state, 'vm-1', 1)
     expect(state.members.size).to.equal(0)
@@ -67,7 +67,7 @@
     expect(state.members.size).to.equal(1)
   })
 
-  it('are all polled in a small fleet, and in turn in a large one', () => {
+  it('are all polled in each round of a small fleet, and in turn in a large one', () => {
     expect(listPolled(createMembers(8), 3)).to.have.length(7)
     const large = createMembers(76)
     const polled = new Set<string>()
@@ -76,7 +76,7 @@
     expect(listPolled(large, 0)).to.have.length(5)
   })
 
-  it('agree on an order in which to act', () => {
+  it('compute distinct ranks that agree between VMs', () => {
     const ranks = Array.from({ length: 5 }, (_, self) => {
       const state = createMembers(5, self)
       for (const vm of state.members.keys()) recordReport(state, vm, 100)
--- a/packages/gateway/src/fleet/members.ts
+++ b/packages/gateway/src/fleet/members.ts
@@ -1,36 +1,36 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
 import type { VmEntry } from './messages.ts'
 
-/** A VM that has left a poll unanswered for this long does not count as reachable, in milliseconds: three rounds of polls. */
+/** A VM that has left a poll unanswered for this long counts as unresponsive: three rounds of polls. */
 export const UNRESPONSIVE_AFTER_MS = 1_500
-/** A VM silent for this long has its entry removed, in milliseconds. */
+/** A VM that has left polls unanswered for this long has its entry removed. */
 export const REMOVE_ENTRY_AFTER_MS = 60_000
-/** A VM silent for this long does not run any more, as far as anything that is safe without it needs to know. */
+/** A VM that has left polls unanswered for this long is presumed stopped. Only for uses that stay safe if it still runs. */
 const PRESUMED_STOPPED_AFTER_MS = REMOVE_ENTRY_AFTER_MS / 3
-/** Up to this many other VMs are all polled in each round. Source: letter 1, small sites run 8 to 9 VMs. */
+/** Up to this many other VMs are all polled in each round; small sites run 8 to 9 VMs. */
 const MAX_MEMBERS_POLLED_EVERY_ROUND = 8
-/** VMs polled in a round of a larger fleet: with 76 VMs, polls are most of what an idle VM spends processor time on. */
+/** VMs polled in a round of a larger fleet: with 76 VMs, polls take most of the processor time of an idle VM. */
 const POLLED_PER_ROUND = 5
-/** Those of other regions among them: links between regions are dear, and carry the same news as those within. */
+/** How many of these are in other regions: links between regions are expensive, and reports from there carry the same information. */
 const POLLED_IN_OTHER_REGIONS_PER_ROUND = 1
 
 /** Another VM of the fleet. */
 export interface Member {
   entry: VmEntry
-  /** When the last poll was sent that it has answered; `-Infinity` for none. */
+  /** When the latest poll that it has answered was sent; `-Infinity` before its first answer. */
   lastAnsweredPollSentAtMs: number
-  /** When the first poll was sent that it has not answered since; `null` while it has answered all. */
+  /** When the first poll after its last answer was sent; `null` while no poll is unanswered. */
   unansweredSinceMs: number | null
 }
 
 export interface MemberState {
   self: VmEntry
   members: Map<string, Member>
-  /** Start of each VM that has told that it ends; what is still heard of that start is out of date. */
+  /** Incarnation of each VM that has announced its end; entries of that incarnation or earlier ones are ignored. */
   left: Map<string, number>
-  /** Raised with each change of who is a member. */
+  /** Number of changes to `members` so far. */
   changes: number
-  /** Whether the store, or a VM that had read it, told who the members are. */
+  /** Whether the members have been listed by the store, or by a VM that knew the store's list. */
   isListed: boolean
 }
 
@@ -39,9 +39,9 @@
 }
 
 /**
- * Takes in a VM; a later start of the same VM replaces the earlier one.
+ * Adds a VM; a later incarnation of the same VM replaces an earlier one.
  *
- * @returns whether anything is new
+ * @returns whether the VM or its incarnation is new
  */
 export function addMember (state: MemberState, entry: VmEntry): boolean {
   if (entry.vm === state.self.vm || entry.incarnation <= (state.left.get(entry.vm) ?? -Infinity)) return false
@@ -56,7 +56,7 @@
   if (state.members.delete(vm)) state.changes++
 }
 
-/** Takes in that a VM has ended by itself. */
+/** Removes a VM that has announced its end, unless a later incarnation of it is known. */
 export function recordLeft (state: MemberState, vm: string, incarnation: number): void {
   const existing = state.members.get(vm)
   if (existing !== undefined && existing.entry.incarnation > incarnation) return
@@ -64,10 +64,12 @@
   removeMember(state, vm)
 }
 
+/** Records that a poll has been sent to a VM. */
 export function recordPoll (member: Member, nowMs: number): void {
   member.unansweredSinceMs ??= nowMs
 }
 
+/** Records that a VM has answered the poll that was sent at `pollSentAtMs`. */
 export function recordReport (state: MemberState, vm: string, pollSentAtMs: number): void {
   const member = state.members.get(vm)
   if (member === undefined) return
@@ -75,31 +77,35 @@
   if (member.unansweredSinceMs !== null && pollSentAtMs >= member.unansweredSinceMs) member.unansweredSinceMs = null
 }
 
-/** For how long a VM has left polls unanswered, in milliseconds; 0 while it answers, or was never asked. */
+/** Measures for how long a VM has left polls unanswered, in milliseconds; 0 while it answers, or before its first poll. */
 export function measureUnansweredMs ({ unansweredSinceMs }: Member, nowMs: number): number {
   return unansweredSinceMs === null ? 0 : nowMs - unansweredSinceMs
 }
 
+/** Whether a VM has answered a poll, and has no poll that has been unanswered for too long. */
 export function isHeard (member: Member, nowMs: number): boolean {
   return member.lastAnsweredPollSentAtMs > -Infinity && measureUnansweredMs(member, nowMs) < UNRESPONSIVE_AFTER_MS
 }
 
-/** VMs that answer, this one not included. */
+/** Lists the responsive VMs, without the local one. */
 export function listHeard (state: MemberState, nowMs: number): Member[] {
   return [...state.members.values()].filter(m => isHeard(m, nowMs))
 }
 
-/** VMs that may be running: those that answer, and those that have not been silent for long. */
+/** Lists the VMs that may be running: all but those that have left polls unanswered for long. */
 export function listPossible (state: MemberState, nowMs: number): Member[] {
   return [...state.members.values()].filter(m => measureUnansweredMs(m, nowMs) < PRESUMED_STOPPED_AFTER_MS)
 }
 
-/** VMs that have answered not long ago. Only these are told to others, so that none that is gone comes back by hearsay. */
+/**
+ * Lists the VMs that may be running and have answered this VM at least once. Reports list only these, so that VMs do
+ * not reintroduce a stopped VM to each other.
+ */
 export function listRecentlyResponsive (state: MemberState, nowMs: number): Member[] {
   return listPossible(state, nowMs).filter(m => m.lastAnsweredPollSentAtMs > -Infinity)
 }
 
-/** VMs to poll in a round: all of a small fleet; of a large one a part, mostly of this region, that moves on with each round. */
+/** Lists the VMs to poll in a round: all of a small fleet; of a large one a few in turn, mostly of the local region. */
 export function listPolled (state: MemberState, round: number): Member[] {
   const sortedMembers = [...state.members.values()].sort((a, b) => a.entry.vm < b.entry.vm ? -1 : 1)
   if (sortedMembers.length <= MAX_MEMBERS_POLLED_EVERY_ROUND) return sortedMembers
@@ -114,7 +120,10 @@
   return Array.from({ length: Math.min(count, members.length) }, (_, i) => members[(start + i) % members.length]!)
 }
 
-/** Place of this VM among those that answer, for a service; 0 acts first. */
+/**
+ * Computes the rank of this VM among the responsive ones for a service, by hash. VMs that see the same members compute
+ * distinct ranks without coordination, and the VM with rank 0 acts first.
+ */
 export function computeRank (state: MemberState, service: string, nowMs: number): number {
   const serviceHash = hashName(service)
   const localHash = hashPair(serviceHash, hashName(state.self.vm))
--- a/packages/gateway/src/fleet/messages.ts
+++ b/packages/gateway/src/fleet/messages.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod'
 import { configurationSchema } from '../configuration/configuration.ts'
 
-/** What a VM registers of itself in the store. */
+/** The entry that a VM registers for itself in the store. */
 export const vmEntrySchema = z.object({
   vm: z.string(),
   host: z.string(),
@@ -13,26 +13,26 @@
 })
 export type VmEntry = z.infer<typeof vmEntrySchema>
 
-/** What a VM knows of a service's group. Ages are in milliseconds when the report is sent. */
+/** What a VM knows about a service's group. Ages are in milliseconds at the time when the report is created. */
 export interface GroupReport {
   service: string
   primary: string
   term: number
-  /** Age of the last proof that the primary leads; `null` without one. */
+  /** Age of the latest proof that the primary leads; `null` without one. */
   leadershipAgeMs: number | null
   sample: { ageMs: number, position: LogPosition } | null
   acknowledged: LogPosition | null
   acknowledgedAgeMs: number | null
-  /** Age of the primary's last answer to the VM. */
+  /** Age of the primary's last response to the VM; `null` without one. */
   primaryResponseAgeMs: number | null
-  /** For how long the VM's oldest write at the primary has gone without an answer; 0 for none. */
+  /** Age of the VM's oldest write to the primary that is still without a response; 0 when there is none. */
   pendingWriteAgeMs: number
 }
 
 const ageMsSchema = z.number().nullable()
 const positionSchema = z.tuple([z.number().int(), z.number().int()]).nullable()
 
-/** A group's report on the wire: fields without names, as reports make up most of the traffic between VMs. */
+/** A group report on the wire, without field names: reports make up most of the traffic between VMs. */
 export const groupReportSchema = z.tuple([z.string(), z.string(), z.number().int(), ageMsSchema, ageMsSchema, positionSchema, positionSchema, ageMsSchema, ageMsSchema, z.number()])
 export type EncodedGroupReport = z.infer<typeof groupReportSchema>
 
@@ -55,81 +55,85 @@
   return { service, primary, term, leadershipAgeMs, sample, acknowledged: decodePosition(acknowledged), acknowledgedAgeMs, primaryResponseAgeMs, pendingWriteAgeMs }
 }
 
-/** Asks a VM for its report. */
+/** Requests a VM's report. */
 export const pollSchema = z.object({
   type: z.literal('poll'),
   sequence: z.number().int(),
-  /** The sender, for a VM that may not know it yet. */
+  /** The sender's entry, for a receiver that may not know the sender yet. */
   vm: vmEntrySchema.optional(),
-  /** VMs that the sender knows, itself included. */
+  /** Number of VMs that the sender knows, itself included. */
   vmsKnown: z.number().int(),
 })
 
+/** Answers a poll. */
 export const reportSchema = z.object({
   type: z.literal('report'),
   sequence: z.number().int(),
   groups: z.array(groupReportSchema),
-  /** Operations asked for in the last window, by workspace. */
+  /** Number of operations requested in the last window, by workspace. */
   demand: z.array(z.tuple([z.string(), z.number()])),
   configurationVersion: z.number().int(),
-  /** All VMs, where the asker knows fewer. */
+  /** All VMs that the sender knows to be running; only if the poll's sender knows fewer. */
   vms: z.array(vmEntrySchema).optional()
 })
 export type Report = z.infer<typeof reportSchema>
 
-/** Asks a VM for its configuration. */
+/** Requests a VM's configuration. */
 export const configurationWantedSchema = z.object({ type: z.literal('configurationWanted') })
+/** Answers `configurationWanted`. */
 export const configurationOfferedSchema = z.object({ type: z.literal('configurationOffered'), configuration: configurationSchema })
 
-/** A promoter asks that a primary no longer be trusted, and that no writes be sent to it. */
+/** A promoting VM requests that the receiver revoke a primary's verified leadership, and send it no further writes. */
 export const revokeSchema = z.object({
   type: z.literal('revoke'),
   service: z.string(),
   endpoint: z.string(),
   term: z.number().int(),
   attempt: z.string(),
-  /** Whether statements that are running are waited for, as the primary still works. */
+  /** Whether the primary still works, so that the receiver waits for its writes in flight before it confirms. */
   isPlanned: z.boolean()
 })
+/** Confirms a revocation. */
 export const revokedSchema = z.object({
   type: z.literal('revoked'),
   service: z.string(),
   attempt: z.string(),
-  /** Latest position that the VM knows to be acknowledged. */
+  /** Latest position that the sender knows to be acknowledged. */
   acknowledged: logPositionSchema.optional()
 })
-/** A promoter tells how its attempt ended. */
+/** A promoting VM announces the outcome of its attempt. */
 export const promotedSchema = z.object({
   type: z.literal('promoted'),
   service: z.string(),
-  /** The new primary; absent when there is none. */
+  /** The new primary; absent if the attempt failed. */
   endpoint: z.string().optional(),
   term: z.number().int()
 })
 
-/** Asks a VM that counts a workspace's limit to admit one operation. */
+/** Requests that a VM which counts a workspace's limit admit one operation. */
 export const permitSchema = z.object({
   type: z.literal('permit'),
   request: z.number().int(),
   workspace: z.string(),
-  /** Whether another VM has refused the operation before. */
+  /** Whether the operation was sent to another VM before, which refused it. */
   isRepeated: z.boolean(),
-  /** Whether it has been admitted already, and is only to be counted. */
+  /** Whether the operation has been admitted already, and needs only be counted. */
   isAdmitted: z.boolean()
 })
 export type Permit = z.infer<typeof permitSchema>
+/** Answers a `permit` request. */
 export const permittedSchema = z.object({
   type: z.literal('permitted'),
   request: z.number().int(),
   result: z.enum(['admitted', 'refused', 'notCounted']),
-  /** When one is likely to be admitted, in milliseconds. */
+  /** After how many milliseconds an operation is likely to be admitted. */
   retryAfterMs: z.number().optional(),
-  /** Whether the workspace asks for well below its limit. */
+  /** Whether the workspace's demand is well below its limit. */
   isCalm: z.boolean()
 })
 export type Permitted = z.infer<typeof permittedSchema>
 
-/** A VM ends after it has served its last client. */
+/** A VM announces that it ends, after it has served its last client. */
 export const leftSchema = z.object({ type: z.literal('left'), incarnation: z.number() })
 
 export const fleetMessageSchema = z.discriminatedUnion('type', [leftSchema, pollSchema, reportSchema, revokeSchema, revokedSchema, promotedSchema, permitSchema, permittedSchema, configurationWantedSchema, configurationOfferedSchema])
--- a/packages/gateway/src/fleet/revocations.test.ts
+++ b/packages/gateway/src/fleet/revocations.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai'
 import { addLocalPosition, RevocationCollector } from './revocations.ts'
 
-describe('confirmations of a revocation', () => {
-  it('hold the latest position of all VMs, this one included, by term before index', () => {
+describe('revocation confirmations', () => {
+  it('yield the latest position of all VMs including the local one, compared by term before index', () => {
     const others = { isEveryVmHeard: true, acknowledged: { term: 2, index: 10 } }
     expect(addLocalPosition(others, { term: 1, index: 12 }).acknowledged).to.deep.equal({ term: 2, index: 10 })
     expect(addLocalPosition(others, { term: 2, index: 11 }).acknowledged).to.deep.equal({ term: 2, index: 11 })
@@ -11,7 +11,7 @@
     expect(addLocalPosition({ isEveryVmHeard: true, acknowledged: null }, { term: 1, index: 1 }).acknowledged).to.deep.equal({ term: 1, index: 1 })
   })
 
-  it('are complete once every VM has confirmed, and count for their attempt only', async () => {
+  it('are complete once every VM has confirmed, and count only for their own attempt', async () => {
     const collector = new RevocationCollector()
     const confirmations = collector.collect('a', ['vm-1', 'vm-2'], 5_000)
     collector.confirm('b', 'vm-1', { term: 9, index: 9 })
@@ -20,7 +20,7 @@
     expect(await confirmations).to.deep.equal({ isEveryVmHeard: true, acknowledged: { term: 2, index: 10 } })
   })
 
-  it('are incomplete when the wait is over', async () => {
+  it('are incomplete if a VM has not confirmed before the timeout', async () => {
     const collector = new RevocationCollector()
     const confirmations = collector.collect('a', ['vm-1', 'vm-2'], 10)
     collector.confirm('a', 'vm-1', undefined)
--- a/packages/gateway/src/fleet/revocations.ts
+++ b/packages/gateway/src/fleet/revocations.ts
@@ -7,17 +7,17 @@
   finish: () => void
 }
 
-/** Adds what this VM itself knows to be acknowledged to what the others have told. */
+/** Adds the position that this VM knows to be acknowledged to the positions that the others have confirmed with. */
 export function addLocalPosition (revocation: Revocation, acknowledged: LogPosition | null): Revocation {
   if (acknowledged === null) return revocation
   return { ...revocation, acknowledged: pickLaterPosition(revocation.acknowledged, acknowledged) }
 }
 
-/** Collects the confirmations of other VMs that they no longer trust a primary. */
+/** Collects the confirmations of other VMs that they have revoked a primary's verified leadership. */
 export class RevocationCollector {
   readonly #pending = new Map<string, PendingRevocation>()
 
-  /** Waits for the VMs' confirmations of an attempt. */
+  /** Waits until all VMs have confirmed an attempt, at most for `waitMs` milliseconds. */
   async collect (attempt: string, vms: readonly string[], waitMs: number): Promise<Revocation> {
     const revocation: PendingRevocation = { unconfirmedVms: new Set(vms), acknowledged: null, finish: () => {} }
     this.#pending.set(attempt, revocation)
@@ -33,6 +33,7 @@
     return { isEveryVmHeard: revocation.unconfirmedVms.size === 0, acknowledged: revocation.acknowledged }
   }
 
+  /** Records a VM's confirmation; one for an attempt that is not being collected is ignored. */
   confirm (attempt: string, vm: string, acknowledged: LogPosition | undefined): void {
     const revocation = this.#pending.get(attempt)
     if (revocation === undefined) return
