--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -4,7 +4,7 @@
 import type { ClientListener } from './clients/client-listener.ts'
 import { ElapsedClock } from './clock/elapsed-clock.ts'
 import { ConfigurationHolder } from './configuration/configuration-holder.ts'
-import { applyChanges, applyListing, createDirectory, recordStoreReturn, sweepLapsed, type DirectoryState } from './directory/directory.ts'
+import { applyChanges, applyListing, createDirectory, recordStoreRecovery, removeExpiredLapsedEntries, type DirectoryState } from './directory/directory.ts'
 import { drainSessions } from './drain/drain.ts'
 import { ControlConnections } from './failover/control-connections.ts'
 import { DutyClaims } from './failover/duty-claim.ts'
@@ -88,7 +88,7 @@
   failover.start()
   const watches = startWatches(parts)
   const sweeping = setInterval(() => {
-    groups.applyChanges(sweepLapsed(directory, clock.readNow()))
+    groups.applyChanges(removeExpiredLapsedEntries(directory, clock.readNow()))
     for (const group of groups.list()) for (const pool of group.pools.values()) pool.runPlan()
   }, SWEEP_INTERVAL_MS)
   const sessions = new Set<ClientSession>()
@@ -153,7 +153,7 @@
 }
 
 function startWatches ({ outside: { store }, logger, clock, configuration, directory, groups }: Parts): Array<{ stop: () => void }> {
-  const handleRegained = (): void => recordStoreReturn(directory, clock.readNow())
+  const handleRegained = (): void => recordStoreRecovery(directory, clock.readNow())
   const endpoints = watchKind({
     store,
     logger,
--- a/packages/gateway/src/directory/directory.test.ts
+++ b/packages/gateway/src/directory/directory.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import type { StoredObject } from '../metadata/metadata-store.ts'
-import { applyChanges, applyListing, createDirectory, ENTRY_RETURN_MS, listEndpoints, recordStoreReturn, sweepLapsed } from './directory.ts'
+import { applyChanges, applyListing, createDirectory, LAPSED_ENTRY_GRACE_MS, listEndpoints, recordStoreRecovery, removeExpiredLapsedEntries } from './directory.ts'
 import type { EndpointEntry } from './endpoint-entry.ts'
 
 function createEntry (endpoint: string, options: Partial<EndpointEntry> = {}): StoredObject<EndpointEntry> {
@@ -28,11 +28,11 @@
   it('gives entries that lapsed during an outage time to come back, then drops those that have not', () => {
     const state = createDirectory()
     applyListing(state, { asOf: 5, items: [createEntry('a'), createEntry('b')] }, 0)
-    recordStoreReturn(state, 10_000)
+    recordStoreRecovery(state, 10_000)
     expect(applyListing(state, { asOf: 9, items: [] }, 10_000).map(c => c.event)).to.deep.equal(['lapsed', 'lapsed'])
-    expect(sweepLapsed(state, 10_000 + ENTRY_RETURN_MS - 1)).to.deep.equal([])
+    expect(removeExpiredLapsedEntries(state, 10_000 + LAPSED_ENTRY_GRACE_MS - 1)).to.deep.equal([])
     applyChanges(state, [{ object: createEntry('a'), isRemoved: false }], 10, 11_000)
-    expect(sweepLapsed(state, 10_000 + ENTRY_RETURN_MS).map(c => c.entry.endpoint)).to.deep.equal(['b'])
+    expect(removeExpiredLapsedEntries(state, 10_000 + LAPSED_ENTRY_GRACE_MS).map(c => c.entry.endpoint)).to.deep.equal(['b'])
     expect(listEndpoints(state, 'orders').map(e => e.endpoint)).to.deep.equal(['a'])
   })
 
--- a/packages/gateway/src/directory/directory.ts
+++ b/packages/gateway/src/directory/directory.ts
@@ -2,7 +2,7 @@
 import type { EndpointEntry } from './endpoint-entry.ts'
 
 /** Time after the store's return within which lapsed entries come back, in milliseconds; from the platform's promise. */
-export const ENTRY_RETURN_MS = 2_000
+export const LAPSED_ENTRY_GRACE_MS = 2_000
 
 /** Endpoints as registered, and until when lapsed ones are kept. */
 export interface DirectoryState {
@@ -10,21 +10,21 @@
   /** Revision of the store up to which changes are included. */
   asOf: number
   /** Endpoints without an entry, and when to drop them. */
-  lapsed: Map<string, number>
+  lapsedRemovalAtMs: Map<string, number>
   /** When the store was last known to come back; entries may still be missing shortly after. */
-  storeReturnedAtMs: number
+  storeRecoveredAtMs: number
 }
 
 export type DirectoryEvent = 'added' | 'changed' | 'lapsed' | 'removed'
 export interface DirectoryChange { event: DirectoryEvent, entry: EndpointEntry }
 
 export function createDirectory (): DirectoryState {
-  return { entries: new Map(), asOf: 0, lapsed: new Map(), storeReturnedAtMs: -Infinity }
+  return { entries: new Map(), asOf: 0, lapsedRemovalAtMs: new Map(), storeRecoveredAtMs: -Infinity }
 }
 
 /** Takes in that the store answers again after it did not. */
-export function recordStoreReturn (state: DirectoryState, nowMs: number): void {
-  state.storeReturnedAtMs = nowMs
+export function recordStoreRecovery (state: DirectoryState, nowMs: number): void {
+  state.storeRecoveredAtMs = nowMs
 }
 
 /** Takes in the whole list. */
@@ -32,27 +32,27 @@
   if (listing.asOf < state.asOf) return []
   state.asOf = listing.asOf
   const changes = listing.items.flatMap(o => applyObject(state, o))
-  const listed = new Set(listing.items.filter(o => o.value !== null).map(o => o.name))
+  const listedNames = new Set(listing.items.filter(o => o.value !== null).map(o => o.name))
   for (const name of [...state.entries.keys()]) {
-    if (!listed.has(name)) changes.push(...recordLapse(state, name, nowMs))
+    if (!listedNames.has(name)) changes.push(...handleMissingEntry(state, name, nowMs))
   }
   return changes
 }
 
 /** Takes in changes that a watch has shown. */
-export function applyChanges (state: DirectoryState, listed: ReadonlyArray<Change<EndpointEntry>>, asOf: number, nowMs: number): DirectoryChange[] {
-  const changes = listed.flatMap(({ object, isRemoved }) => isRemoved ? recordLapse(state, object.name, nowMs) : applyObject(state, object))
+export function applyChanges (state: DirectoryState, storeChanges: ReadonlyArray<Change<EndpointEntry>>, asOf: number, nowMs: number): DirectoryChange[] {
+  const changes = storeChanges.flatMap(({ object, isRemoved }) => isRemoved ? handleMissingEntry(state, object.name, nowMs) : applyObject(state, object))
   state.asOf = Math.max(state.asOf, asOf)
   return changes
 }
 
 /** Drops entries that have been missing for long enough. */
-export function sweepLapsed (state: DirectoryState, nowMs: number): DirectoryChange[] {
+export function removeExpiredLapsedEntries (state: DirectoryState, nowMs: number): DirectoryChange[] {
   const changes: DirectoryChange[] = []
-  for (const [name, dropAtMs] of state.lapsed) {
-    if (dropAtMs > nowMs) continue
+  for (const [name, removalAtMs] of state.lapsedRemovalAtMs) {
+    if (removalAtMs > nowMs) continue
     const entry = state.entries.get(name)
-    state.lapsed.delete(name)
+    state.lapsedRemovalAtMs.delete(name)
     state.entries.delete(name)
     if (entry !== undefined) changes.push({ event: 'removed', entry })
   }
@@ -61,18 +61,18 @@
 
 function applyObject (state: DirectoryState, { name, value }: StoredObject<EndpointEntry>): DirectoryChange[] {
   if (value === null) return []
-  const before = state.entries.get(name)
+  const previous = state.entries.get(name)
   state.entries.set(name, value)
-  state.lapsed.delete(name)
-  return [{ event: before === undefined ? 'added' : 'changed', entry: value }]
+  state.lapsedRemovalAtMs.delete(name)
+  return [{ event: previous === undefined ? 'added' : 'changed', entry: value }]
 }
 
-function recordLapse (state: DirectoryState, name: string, nowMs: number): DirectoryChange[] {
+function handleMissingEntry (state: DirectoryState, name: string, nowMs: number): DirectoryChange[] {
   const entry = state.entries.get(name)
-  if (entry === undefined || state.lapsed.has(name)) return []
-  const dropAtMs = state.storeReturnedAtMs + ENTRY_RETURN_MS
-  if (dropAtMs > nowMs) {
-    state.lapsed.set(name, dropAtMs)
+  if (entry === undefined || state.lapsedRemovalAtMs.has(name)) return []
+  const removalAtMs = state.storeRecoveredAtMs + LAPSED_ENTRY_GRACE_MS
+  if (removalAtMs > nowMs) {
+    state.lapsedRemovalAtMs.set(name, removalAtMs)
     return [{ event: 'lapsed', entry }]
   }
   state.entries.delete(name)
