--- a/packages/gateway/src/directory/directory.test.ts
+++ b/packages/gateway/src/directory/directory.test.ts
@@ -12,20 +12,20 @@
 }
 
 describe('directory', () => {
-  it('lists what is registered, and leaves out entries that cannot be read', () => {
+  it('lists registered endpoints, and leaves out entries that cannot be read', () => {
     const state = createDirectory()
     applyListing(state, { asOf: 5, items: [createEntry('b'), createEntry('a'), { name: 'c', revision: 2, value: null }] }, 0)
     expect(listEndpoints(state, 'orders').map(e => e.endpoint)).to.deep.equal(['a', 'b'])
   })
 
-  it('drops an entry at once while the store is well', () => {
+  it('removes an entry immediately if the store has had no outage', () => {
     const state = createDirectory()
     applyListing(state, { asOf: 5, items: [createEntry('a')] }, 0)
     expect(applyChanges(state, [{ object: createEntry('a'), isRemoved: true }], 6, 10_000).map(c => c.event)).to.deep.equal(['removed'])
     expect(listEndpoints(state, 'orders')).to.deep.equal([])
   })
 
-  it('gives entries that lapsed during an outage time to come back, then drops those that have not', () => {
+  it('keeps entries that lapsed during an outage for the grace period, then removes those that have not come back', () => {
     const state = createDirectory()
     applyListing(state, { asOf: 5, items: [createEntry('a'), createEntry('b')] }, 0)
     recordStoreRecovery(state, 10_000)
@@ -36,7 +36,7 @@
     expect(listEndpoints(state, 'orders').map(e => e.endpoint)).to.deep.equal(['a'])
   })
 
-  it('ignores a list older than what it knows', () => {
+  it('ignores a listing that is older than the changes applied', () => {
     const state = createDirectory()
     applyListing(state, { asOf: 9, items: [createEntry('a')] }, 0)
     expect(applyListing(state, { asOf: 5, items: [] }, 0)).to.deep.equal([])
--- a/packages/gateway/src/directory/directory.ts
+++ b/packages/gateway/src/directory/directory.ts
@@ -1,17 +1,17 @@
 import type { Change, Listing, StoredObject } from '../metadata/metadata-store.ts'
 import type { EndpointEntry } from './endpoint-entry.ts'
 
-/** Time after the store's return within which lapsed entries come back, in milliseconds; from the platform's promise. */
+/** The platform guarantees that entries which lapsed during a store outage return within this time after it. */
 export const LAPSED_ENTRY_GRACE_MS = 2_000
 
-/** Endpoints as registered, and until when lapsed ones are kept. */
+/** The registered endpoints, including those whose entries have lapsed and may come back. */
 export interface DirectoryState {
   entries: Map<string, EndpointEntry>
-  /** Revision of the store up to which changes are included. */
+  /** Revision of the store up to which changes have been applied. */
   asOf: number
-  /** Endpoints without an entry, and when to drop them. */
+  /** When to remove each endpoint whose entry is missing from the store, by its name. */
   lapsedRemovalAtMs: Map<string, number>
-  /** When the store was last known to come back; entries may still be missing shortly after. */
+  /** When the store last recovered from an outage; entries may still be missing shortly after. */
   storeRecoveredAtMs: number
 }
 
@@ -22,12 +22,12 @@
   return { entries: new Map(), asOf: 0, lapsedRemovalAtMs: new Map(), storeRecoveredAtMs: -Infinity }
 }
 
-/** Takes in that the store answers again after it did not. */
+/** Records that the store responds again after an outage. */
 export function recordStoreRecovery (state: DirectoryState, nowMs: number): void {
   state.storeRecoveredAtMs = nowMs
 }
 
-/** Takes in the whole list. */
+/** Applies a full listing of the store; one older than what has been applied is ignored. */
 export function applyListing (state: DirectoryState, listing: Listing<EndpointEntry>, nowMs: number): DirectoryChange[] {
   if (listing.asOf < state.asOf) return []
   state.asOf = listing.asOf
@@ -39,14 +39,14 @@
   return changes
 }
 
-/** Takes in changes that a watch has shown. */
+/** Applies changes that a watch of the store has returned. */
 export function applyChanges (state: DirectoryState, storeChanges: ReadonlyArray<Change<EndpointEntry>>, asOf: number, nowMs: number): DirectoryChange[] {
   const changes = storeChanges.flatMap(({ object, isRemoved }) => isRemoved ? handleMissingEntry(state, object.name, nowMs) : applyObject(state, object))
   state.asOf = Math.max(state.asOf, asOf)
   return changes
 }
 
-/** Drops entries that have been missing for long enough. */
+/** Removes lapsed entries that have not come back in time. */
 export function removeExpiredLapsedEntries (state: DirectoryState, nowMs: number): DirectoryChange[] {
   const changes: DirectoryChange[] = []
   for (const [name, removalAtMs] of state.lapsedRemovalAtMs) {
@@ -67,6 +67,7 @@
   return [{ event: previous === undefined ? 'added' : 'changed', entry: value }]
 }
 
+/** Removes an entry that is missing from the store, or keeps it for a while if the store recovered a short time ago. */
 function handleMissingEntry (state: DirectoryState, name: string, nowMs: number): DirectoryChange[] {
   const entry = state.entries.get(name)
   if (entry === undefined || state.lapsedRemovalAtMs.has(name)) return []
@@ -79,7 +80,7 @@
   return [{ event: 'removed', entry }]
 }
 
-/** The service's endpoints, in the order of their names. */
+/** Lists the service's endpoints, sorted by name. */
 export function listEndpoints (state: DirectoryState, service: string): EndpointEntry[] {
   return [...state.entries.values()].filter(e => e.service === service).sort((a, b) => a.endpoint < b.endpoint ? -1 : 1)
 }
--- a/packages/gateway/src/directory/endpoint-entry.ts
+++ b/packages/gateway/src/directory/endpoint-entry.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** What an endpoint registers of itself. */
+/** The entry that an endpoint registers for itself in the store. */
 export const endpointEntrySchema = z.object({
   endpoint: z.string(),
   service: z.string(),
@@ -9,11 +9,11 @@
   failureDomain: z.string(),
   role: z.enum(['primary', 'replica']),
   isDraining: z.boolean(),
-  /** Statements that it runs at the same time. */
+  /** Number of statements that it runs concurrently. */
   slots: z.number().int().positive(),
-  /** Milliseconds for which it stays slow after its start. */
+  /** Milliseconds until it has warmed up; it is slow until then. */
   warmupLeftMs: z.number().nonnegative(),
-  /** Time of its start in milliseconds since the epoch; the same endpoint may start again, empty. */
+  /** Time of its start in milliseconds since the epoch; an endpoint may restart under the same name without its data. */
   startedAtMs: z.number()
 })
 export type EndpointEntry = z.infer<typeof endpointEntrySchema>
