--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -158,7 +158,7 @@
     store,
     logger,
     kind: 'endpoints',
-    handleRegained,
+    handleStoreRecovery: handleRegained,
     pauseMs: ENDPOINTS_PAUSE_MS,
     applyListing: listing => groups.applyChanges(applyListing(directory, listing, clock.readNow())),
     applyChanges: (changes, asOf) => groups.applyChanges(applyChanges(directory, changes, asOf, clock.readNow()))
--- a/packages/gateway/src/configuration/configuration-holder.ts
+++ b/packages/gateway/src/configuration/configuration-holder.ts
@@ -22,7 +22,7 @@
   /** Takes in a version; one that is not later than the present one is ignored. */
   apply (configuration: Configuration, source: string): void {
     if (this.#current !== null && configuration.version <= this.#current.version) return
-    this.#logger.info('configuration in force', { version: configuration.version, before: this.#current?.version, source, routes: configuration.routes.length, workspaces: configuration.workspaces.length })
+    this.#logger.info('configuration in force', { version: configuration.version, previousVersion: this.#current?.version, source, routes: configuration.routes.length, workspaces: configuration.workspaces.length })
     this.#current = configuration
     for (const listener of [...this.#listeners]) listener(configuration)
   }
--- a/packages/gateway/src/metadata/watch-kind.test.ts
+++ b/packages/gateway/src/metadata/watch-kind.test.ts
@@ -10,15 +10,15 @@
   while (!isDone()) await new Promise(resolve => setTimeout(resolve, STEP_MS))
 }
 
-function startWatch (store: MemoryStore): { names: Set<string>, returns: () => number, stop: () => void } {
+function startWatch (store: MemoryStore): { names: Set<string>, countRecoveries: () => number, stop: () => void } {
   const names = new Set<string>()
-  let returned = 0
+  let recoveryCount = 0
   const watch = watchKind({
     store,
     logger,
     kind: 'vms',
     waitMs: 50,
-    handleRegained: () => returned++,
+    handleStoreRecovery: () => recoveryCount++,
     applyListing: ({ items }) => {
       names.clear()
       for (const { name } of items) names.add(name)
@@ -30,7 +30,7 @@
       }
     }
   })
-  return { names, returns: () => returned, stop: () => watch.stop() }
+  return { names, countRecoveries: () => recoveryCount, stop: () => watch.stop() }
 }
 
 describe('watch of a kind', () => {
@@ -46,23 +46,23 @@
   })
 
   it('carries an object once for many versions that follow each other, and ends with the last', async () => {
-    const VERSIONS = 40
+    const VERSION_COUNT = 40
     const store = new MemoryStore()
-    const carried: unknown[] = []
+    const receivedValues: unknown[] = []
     const watch = watchKind({
       store,
       logger,
       kind: 'vms',
       coalesceMs: 200,
-      applyListing: ({ items }) => { for (const { value } of items) carried.push(value) },
-      applyChanges: changes => { for (const { object } of changes) carried.push(object.value) }
+      applyListing: ({ items }) => { for (const { value } of items) receivedValues.push(value) },
+      applyChanges: changes => { for (const { object } of changes) receivedValues.push(object.value) }
     })
-    for (let version = 1; version <= VERSIONS; version++) {
+    for (let version = 1; version <= VERSION_COUNT; version++) {
       store.replace('vms', 'a', { version })
       await new Promise(resolve => setTimeout(resolve, STEP_MS))
     }
-    await waitUntil(() => (carried.at(-1) as { version: number }).version === VERSIONS)
-    expect(carried.length).to.be.lessThan(VERSIONS / 2)
+    await waitUntil(() => (receivedValues.at(-1) as { version: number }).version === VERSION_COUNT)
+    expect(receivedValues.length).to.be.lessThan(VERSION_COUNT / 2)
     watch.stop()
   })
 
@@ -90,7 +90,7 @@
     expect(watch.names.has('b')).to.equal(false)
     store.isDown = false
     await waitUntil(() => watch.names.has('b'))
-    expect(watch.returns()).to.equal(1)
+    expect(watch.countRecoveries()).to.equal(1)
     watch.stop()
   })
 })
--- a/packages/gateway/src/metadata/watch-kind.ts
+++ b/packages/gateway/src/metadata/watch-kind.ts
@@ -3,11 +3,11 @@
 import { HistoryGoneError, type Change, type Changes, type Listing, type MetadataStore, type ObjectKind, type ObjectKinds } from './metadata-store.ts'
 
 /** How long one watch waits, in milliseconds: a connection that has gone silent is noticed after it. */
-const WATCH_WAIT_MS = 5_000
-const FIRST_PAUSE_MS = 150
-const LONGEST_PAUSE_MS = 1_000
+const WATCH_TIMEOUT_MS = 5_000
+const INITIAL_BACKOFF_MS = 150
+const MAX_BACKOFF_MS = 1_000
 /** Doublings of the pause. */
-const MOST_DOUBLINGS = 4
+const MAX_BACKOFF_DOUBLINGS = 4
 
 export interface WatchKindOptions<K extends ObjectKind> {
   store: MetadataStore
@@ -24,21 +24,21 @@
   applyListing: (listing: Listing<ObjectKinds[K]>) => void
   applyChanges: (changes: Array<Change<ObjectKinds[K]>>, asOf: number) => void
   /** The store answers again; called before what it answered is applied. */
-  handleRegained?: () => void
+  handleStoreRecovery?: () => void
 }
 
 /** Keeps up with all objects of a kind: lists them, then watches what changes. */
 export class KindWatch<K extends ObjectKind = ObjectKind> {
   readonly #options: WatchKindOptions<K>
   /** Revision up to which changes are known; `null` before the first list and after a failure. */
-  #since: number | null = null
-  #isLost = false
+  #knownRevision: number | null = null
+  #isStoreUnreachable = false
   #isStopped = false
-  #failures = 0
+  #consecutiveFailures = 0
   readonly #clock = new MonotonicClock()
-  #changedAtMs = -Infinity
+  #lastChangeAtMs = -Infinity
   /** Ends the wait for a watch that is no longer wanted. */
-  #abandon: (() => void) | undefined
+  #abandonWatch: (() => void) | undefined
 
   constructor (options: WatchKindOptions<K>) {
     this.#options = options
@@ -51,17 +51,17 @@
 
   stop (): void {
     this.#isStopped = true
-    this.#abandon?.()
+    this.#abandonWatch?.()
   }
 
   async #run (): Promise<void> {
     while (!this.#isStopped) {
       try {
-        if (this.#since === null) await this.#list()
-        else await this.#watch(this.#since)
+        if (this.#knownRevision === null) await this.#list()
+        else await this.#watch(this.#knownRevision)
       } catch (error) {
         this.#recordFailure(error)
-        await waitFor(Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(this.#failures - 1, MOST_DOUBLINGS)))
+        await waitFor(Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(this.#consecutiveFailures - 1, MAX_BACKOFF_DOUBLINGS)))
       }
     }
   }
@@ -71,56 +71,56 @@
     const listing = await store.list(kind)
     this.#recordSuccess()
     applyListing(listing)
-    this.#since = listing.asOf
+    this.#knownRevision = listing.asOf
   }
 
-  async #watch (since: number): Promise<void> {
-    const { store, kind, logger, waitMs = WATCH_WAIT_MS, applyChanges } = this.#options
-    const abandoned = new Promise<null>(resolve => { this.#abandon = () => resolve(null) })
-    const watching: Promise<Changes<ObjectKinds[K]>> = store.watch(kind, since, waitMs)
-    const answer = await Promise.race([watching, abandoned])
-    this.#abandon = undefined
-    if (answer === null) {
-      watching.catch((error: unknown) => logger.debug('watch abandoned', { kind, reason: String(error) }))
+  async #watch (revision: number): Promise<void> {
+    const { store, kind, logger, waitMs = WATCH_TIMEOUT_MS, applyChanges } = this.#options
+    const abandonment = new Promise<null>(resolve => { this.#abandonWatch = () => resolve(null) })
+    const watchRequest: Promise<Changes<ObjectKinds[K]>> = store.watch(kind, revision, waitMs)
+    const result = await Promise.race([watchRequest, abandonment])
+    this.#abandonWatch = undefined
+    if (result === null) {
+      watchRequest.catch((error: unknown) => logger.debug('watch abandoned', { kind, reason: String(error) }))
       return
     }
     this.#recordSuccess()
-    applyChanges(answer.changes, answer.asOf)
-    this.#since = answer.asOf
-    await this.#waitAfter(answer.changes.length > 0)
+    applyChanges(result.changes, result.asOf)
+    this.#knownRevision = result.asOf
+    await this.#pauseAfterWatch(result.changes.length > 0)
   }
 
-  async #waitAfter (hasChanges: boolean): Promise<void> {
+  async #pauseAfterWatch (hasChanges: boolean): Promise<void> {
     const { pauseMs, coalesceMs = 0 } = this.#options
     if (pauseMs !== undefined) await waitFor(pauseMs)
     if (!hasChanges) return
     const nowMs = this.#clock.readNow()
-    const isStorm = nowMs - this.#changedAtMs < 2 * coalesceMs
-    this.#changedAtMs = nowMs
-    if (!isStorm) return
+    const isRapidChange = nowMs - this.#lastChangeAtMs < 2 * coalesceMs
+    this.#lastChangeAtMs = nowMs
+    if (!isRapidChange) return
     await waitFor(coalesceMs)
-    this.#changedAtMs = this.#clock.readNow()
-    this.#since = null
+    this.#lastChangeAtMs = this.#clock.readNow()
+    this.#knownRevision = null
   }
 
   #recordSuccess (): void {
-    this.#failures = 0
-    if (!this.#isLost) return
-    this.#isLost = false
+    this.#consecutiveFailures = 0
+    if (!this.#isStoreUnreachable) return
+    this.#isStoreUnreachable = false
     this.#options.logger.info('store regained', { kind: this.#options.kind })
-    this.#options.handleRegained?.()
+    this.#options.handleStoreRecovery?.()
   }
 
   #recordFailure (error: unknown): void {
     const { logger, kind } = this.#options
-    this.#failures++
-    this.#since = null
+    this.#consecutiveFailures++
+    this.#knownRevision = null
     if (error instanceof HistoryGoneError) {
       logger.info('history of the store is gone, listing again', { kind })
       return
     }
-    if (this.#isLost) return
-    this.#isLost = true
+    if (this.#isStoreUnreachable) return
+    this.#isStoreUnreachable = true
     logger.warn('store lost', { kind, reason: describeError(error) })
   }
 }
