--- a/packages/gateway/src/configuration/configuration-holder.ts
+++ b/packages/gateway/src/configuration/configuration-holder.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '@camphorpitch/wire'
 import type { Configuration } from './configuration.ts'
 
-/** The configuration in force; it only moves to later versions. */
+/** Holds the configuration in use, which is only ever replaced by a later version. */
 export class ConfigurationHolder {
   #current: Configuration | null = null
   readonly #logger: Logger
@@ -15,23 +15,25 @@
     return this.#current
   }
 
+  /** Version of the configuration in use; 0 before the first. */
   get version (): number {
     return this.#current?.version ?? 0
   }
 
-  /** Takes in a version; one that is not later than the present one is ignored. */
+  /** Applies a configuration unless its version is not later than the current one. `source` is only logged. */
   apply (configuration: Configuration, source: string): void {
     if (this.#current !== null && configuration.version <= this.#current.version) return
-    this.#logger.info('configuration in force', { version: configuration.version, previousVersion: this.#current?.version, source, routes: configuration.routes.length, workspaces: configuration.workspaces.length })
+    this.#logger.info('configuration applied', { version: configuration.version, previousVersion: this.#current?.version, source, routes: configuration.routes.length, workspaces: configuration.workspaces.length })
     this.#current = configuration
     for (const listener of [...this.#listeners]) listener(configuration)
   }
 
+  /** Adds a listener that is called with each configuration applied from now on. */
   subscribe (listener: (configuration: Configuration) => void): void {
     this.#listeners.push(listener)
   }
 
-  /** Waits for the first version. @returns `null` when none came within `waitMs` */
+  /** Waits for the first configuration. @returns `null` if there is none after `waitMs` milliseconds */
   async waitFirst (waitMs: number): Promise<Configuration | null> {
     if (this.#current !== null) return this.#current
     return await new Promise(resolve => {
--- a/packages/gateway/src/configuration/configuration.ts
+++ b/packages/gateway/src/configuration/configuration.ts
@@ -7,13 +7,13 @@
   database: z.string(),
   service: z.string(),
   consistency: z.enum(consistencyLevels),
-  /** Longest time for one statement, in milliseconds. */
+  /** Longest time that one statement may take, in milliseconds. */
   statementTimeoutMs: z.number().positive(),
-  /** Time within which an operation should be answered, in milliseconds. */
+  /** Response time that operations should stay within, in milliseconds. */
   objectiveMs: z.number().positive(),
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   priority: z.number().int(),
-  /** Age that a read may show, in milliseconds; 0 shows every acknowledged write. */
+  /** How stale the data of a read may be, in milliseconds; with 0 a read shows every acknowledged write. */
   maxStalenessMs: z.number().nonnegative(),
   isPublic: z.boolean()
 })
@@ -21,7 +21,7 @@
 
 export const serviceSchema = z.object({
   name: z.string(),
-  /** Connections that one endpoint accepts from all callers together. */
+  /** Number of connections that one endpoint accepts in total, from all clients. */
   maxConnections: z.number().int().positive(),
   /** Replicas that must have received a commit before it is acknowledged. */
   syncReplicas: z.number().int().nonnegative()
@@ -31,7 +31,7 @@
 export const workspaceSchema = z.object({
   name: z.string(),
   keys: z.array(z.string()),
-  /** Operations a second over all VMs; absent for no limit. */
+  /** Limit of operations per second over all VMs; absent for no limit. */
   ratePerSecond: z.number().nonnegative().optional(),
   burst: z.number().nonnegative().optional()
 })
@@ -42,7 +42,7 @@
   routes: z.array(routeSchema),
   services: z.array(serviceSchema),
   workspaces: z.array(workspaceSchema),
-  /** A transaction idle for this long may be ended, in milliseconds. */
+  /** Idle time after which a transaction may be ended, in milliseconds. */
   transactionIdleMs: z.number().positive()
 })
 export type Configuration = z.infer<typeof configurationSchema>
--- a/packages/gateway/src/metadata/watch-kind.test.ts
+++ b/packages/gateway/src/metadata/watch-kind.test.ts
@@ -33,8 +33,8 @@
   return { names, countRecoveries: () => recoveryCount, stop: () => watch.stop() }
 }
 
-describe('watch of a kind', () => {
-  it('keeps up with what is added and removed', async () => {
+describe('metadata watch of a kind', () => {
+  it('follows objects that are added and removed', async () => {
     const store = new MemoryStore()
     store.replace('vms', 'a', {})
     const watch = startWatch(store)
@@ -45,7 +45,7 @@
     watch.stop()
   })
 
-  it('carries an object once for many versions that follow each other, and ends with the last', async () => {
+  it('delivers far fewer values than versions in quick succession, and ends with the last version', async () => {
     const VERSION_COUNT = 40
     const store = new MemoryStore()
     const receivedValues: unknown[] = []
@@ -66,7 +66,7 @@
     watch.stop()
   })
 
-  it('lists again when the history is gone', async () => {
+  it('lists the objects again when the store has dropped the change history', async () => {
     const store = new MemoryStore()
     const watch = startWatch(store)
     store.replace('vms', 'a', {})
@@ -78,7 +78,7 @@
     watch.stop()
   })
 
-  it('tells when the store is back, and knows then what changed meanwhile', async () => {
+  it('reports that the store has recovered, and applies what changed in the meantime', async () => {
     const store = new MemoryStore()
     const watch = startWatch(store)
     store.replace('vms', 'a', {})
--- a/packages/gateway/src/metadata/watch-kind.ts
+++ b/packages/gateway/src/metadata/watch-kind.ts
@@ -2,42 +2,42 @@
 import { waitFor } from '../runtime/wait-at-most.ts'
 import { HistoryGoneError, type Change, type Changes, type Listing, type MetadataStore, type ObjectKind, type ObjectKinds } from './metadata-store.ts'
 
-/** How long one watch waits, in milliseconds: a connection that has gone silent is noticed after it. */
+/** How long one watch waits for changes; a connection that no longer responds is noticed after this time. */
 const WATCH_TIMEOUT_MS = 5_000
 const INITIAL_BACKOFF_MS = 150
 const MAX_BACKOFF_MS = 1_000
-/** Doublings of the pause. */
 const MAX_BACKOFF_DOUBLINGS = 4
 
 export interface WatchKindOptions<K extends ObjectKind> {
   store: MetadataStore
   logger: Logger
   kind: K
+  /** How long one watch waits for changes, in milliseconds. */
   waitMs?: number
-  /** Pause after each watch, for changes that may come together, in milliseconds. */
+  /** Pause after each watch, in milliseconds, so that changes made at about the same time are returned together. */
   pauseMs?: number
   /**
-   * Changes that follow each other within twice this time, in milliseconds, are not watched one by one: the objects
-   * are listed again after it. A list carries an object once, a watch each of its versions.
+   * When changes follow each other within twice this time, in milliseconds, the objects are listed again after this
+   * time instead of being watched: a listing transfers an object once, a watch transfers each of its versions.
    */
   coalesceMs?: number
   applyListing: (listing: Listing<ObjectKinds[K]>) => void
   applyChanges: (changes: Array<Change<ObjectKinds[K]>>, asOf: number) => void
-  /** The store answers again; called before what it answered is applied. */
+  /** Called when the store responds again after a failure, before its response is applied. */
   handleStoreRecovery?: () => void
 }
 
-/** Keeps up with all objects of a kind: lists them, then watches what changes. */
+/** Follows all objects of a kind: lists them, then watches their changes. After a failure it lists them again. */
 export class KindWatch<K extends ObjectKind = ObjectKind> {
   readonly #options: WatchKindOptions<K>
-  /** Revision up to which changes are known; `null` before the first list and after a failure. */
+  /** Revision up to which changes have been applied; `null` if the objects must be listed next. */
   #knownRevision: number | null = null
   #isStoreUnreachable = false
   #isStopped = false
   #consecutiveFailures = 0
   readonly #clock = new MonotonicClock()
   #lastChangeAtMs = -Infinity
-  /** Ends the wait for a watch that is no longer wanted. */
+  /** Stops waiting for the running watch; `undefined` while none is running. */
   #abandonWatch: (() => void) | undefined
 
   constructor (options: WatchKindOptions<K>) {
@@ -46,7 +46,7 @@
 
   start (): void {
     const { logger, kind } = this.#options
-    this.#run().catch((error: unknown) => logger.error('watch ended', { kind, error: String(error) }))
+    this.#run().catch((error: unknown) => logger.error('metadata watch failed unexpectedly', { kind, error: String(error) }))
   }
 
   stop (): void {
@@ -81,7 +81,7 @@
     const result = await Promise.race([watchRequest, abandonment])
     this.#abandonWatch = undefined
     if (result === null) {
-      watchRequest.catch((error: unknown) => logger.debug('watch abandoned', { kind, reason: String(error) }))
+      watchRequest.catch((error: unknown) => logger.debug('abandoned metadata watch failed', { kind, reason: String(error) }))
       return
     }
     this.#recordSuccess()
@@ -107,7 +107,7 @@
     this.#consecutiveFailures = 0
     if (!this.#isStoreUnreachable) return
     this.#isStoreUnreachable = false
-    this.#options.logger.info('store regained', { kind: this.#options.kind })
+    this.#options.logger.info('metadata store reachable again', { kind: this.#options.kind })
     this.#options.handleStoreRecovery?.()
   }
 
@@ -116,16 +116,20 @@
     this.#consecutiveFailures++
     this.#knownRevision = null
     if (error instanceof HistoryGoneError) {
-      logger.info('history of the store is gone, listing again', { kind })
+      logger.info('metadata store has dropped the change history; listing again', { kind })
       return
     }
     if (this.#isStoreUnreachable) return
     this.#isStoreUnreachable = true
-    logger.warn('store lost', { kind, reason: describeError(error) })
+    logger.warn('metadata store unreachable', { kind, reason: describeError(error) })
   }
 }
 
-/** @example watchKind({ store, logger, kind: 'vms', applyListing, applyChanges }).stop() */
+/**
+ * Starts following all objects of a kind.
+ *
+ * @example watchKind({ store, logger, kind: 'vms', applyListing, applyChanges }).stop()
+ */
 export function watchKind<K extends ObjectKind> (options: WatchKindOptions<K>): KindWatch<K> {
   const watch = new KindWatch(options)
   watch.start()
