--- a/packages/gateway/src/clock/elapsed-clock.test.ts
+++ b/packages/gateway/src/clock/elapsed-clock.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import { ElapsedClock } from './elapsed-clock.ts'
 
-function createSources (): { steadyMs: number, wallMs: number, uptimeMs: number, pass: (ms: number) => void, suspend: (ms: number) => void } {
+function createSources (): { monotonicMs: number, wallMs: number, uptimeMs: number, advance: (ms: number) => void, suspend: (ms: number) => void } {
   const sources = {
-    steadyMs: 500,
+    monotonicMs: 500,
     wallMs: 1_700_000_000_000,
     uptimeMs: 90_000,
-    pass: (ms: number) => {
-      sources.steadyMs += ms
+    advance: (ms: number) => {
+      sources.monotonicMs += ms
       sources.wallMs += ms
       sources.uptimeMs += ms
     },
@@ -19,8 +19,8 @@
   return sources
 }
 
-function createClock (s: ReturnType<typeof createSources>): ElapsedClock {
-  return new ElapsedClock({ readSteadyMs: () => s.steadyMs, readWallMs: () => s.wallMs, readUptimeMs: () => s.uptimeMs })
+function createClock (sources: ReturnType<typeof createSources>): ElapsedClock {
+  return new ElapsedClock({ readMonotonicMs: () => sources.monotonicMs, readWallMs: () => sources.wallMs, readUptimeMs: () => sources.uptimeMs })
 }
 
 describe('elapsed clock', () => {
@@ -28,7 +28,7 @@
     const sources = createSources()
     const clock = createClock(sources)
     const before = clock.readNow()
-    sources.pass(100)
+    sources.advance(100)
     sources.suspend(5_000)
     expect(clock.readNow() - before).to.equal(5_100)
   })
@@ -38,10 +38,10 @@
     const clock = createClock(sources)
     const before = clock.readNow()
     sources.wallMs += 2_400
-    sources.pass(50)
+    sources.advance(50)
     expect(clock.readNow() - before).to.equal(50)
     sources.wallMs -= 4_000
-    sources.pass(50)
+    sources.advance(50)
     expect(clock.readNow() - before).to.equal(100)
   })
 
@@ -49,9 +49,9 @@
     const sources = createSources()
     const clock = createClock(sources)
     sources.suspend(1_000)
-    const suspended = clock.readNow()
+    const suspendedNowMs = clock.readNow()
     sources.uptimeMs -= 10
     sources.wallMs -= 3_000
-    expect(clock.readNow()).to.be.at.least(suspended)
+    expect(clock.readNow()).to.be.at.least(suspendedNowMs)
   })
 })
--- a/packages/gateway/src/clock/elapsed-clock.ts
+++ b/packages/gateway/src/clock/elapsed-clock.ts
@@ -3,12 +3,12 @@
 import { Clock } from '@camphorpitch/wire'
 
 /** Difference between the clocks above which a suspension is looked for, in milliseconds; above their jitter. */
-const SUSPICIOUS_DRIFT_MS = 15
+const SUSPENSION_CHECK_DRIFT_MS = 15
 const MS_PER_SECOND = 1_000
 
 export interface ElapsedClockOptions {
   /** Milliseconds that stand still while the VM is suspended. */
-  readSteadyMs?: () => number
+  readMonotonicMs?: () => number
   /** Time of day in milliseconds; may jump. */
   readWallMs?: () => number
   /** Milliseconds since boot, suspensions included. */
@@ -24,30 +24,30 @@
  * @example new ElapsedClock().readNow() // milliseconds since an arbitrary origin
  */
 export class ElapsedClock extends Clock {
-  readonly #readSteadyMs: () => number
+  readonly #readMonotonicMs: () => number
   readonly #readWallMs: () => number
   readonly #readUptimeMs: () => number
-  readonly #originMs: number
+  readonly #initialUptimeOffsetMs: number
   #suspendedMs = 0
-  #lastDifferenceMs: number
+  #lastWallOffsetMs: number
 
   constructor (options: ElapsedClockOptions = {}) {
     super()
-    const { readSteadyMs = () => performance.now(), readWallMs = () => Date.now(), readUptimeMs = () => uptime() * MS_PER_SECOND } = options
-    this.#readSteadyMs = readSteadyMs
+    const { readMonotonicMs = () => performance.now(), readWallMs = () => Date.now(), readUptimeMs = () => uptime() * MS_PER_SECOND } = options
+    this.#readMonotonicMs = readMonotonicMs
     this.#readWallMs = readWallMs
     this.#readUptimeMs = readUptimeMs
-    this.#originMs = readUptimeMs() - readSteadyMs()
-    this.#lastDifferenceMs = readWallMs() - readSteadyMs()
+    this.#initialUptimeOffsetMs = readUptimeMs() - readMonotonicMs()
+    this.#lastWallOffsetMs = readWallMs() - readMonotonicMs()
   }
 
   override readNow (): number {
-    const steadyMs = this.#readSteadyMs()
-    const differenceMs = this.#readWallMs() - steadyMs
-    if (Math.abs(differenceMs - this.#lastDifferenceMs) > SUSPICIOUS_DRIFT_MS) {
-      this.#lastDifferenceMs = differenceMs
-      this.#suspendedMs = Math.max(this.#suspendedMs, this.#readUptimeMs() - steadyMs - this.#originMs)
+    const monotonicMs = this.#readMonotonicMs()
+    const wallOffsetMs = this.#readWallMs() - monotonicMs
+    if (Math.abs(wallOffsetMs - this.#lastWallOffsetMs) > SUSPENSION_CHECK_DRIFT_MS) {
+      this.#lastWallOffsetMs = wallOffsetMs
+      this.#suspendedMs = Math.max(this.#suspendedMs, this.#readUptimeMs() - monotonicMs - this.#initialUptimeOffsetMs)
     }
-    return steadyMs + this.#suspendedMs
+    return monotonicMs + this.#suspendedMs
   }
 }
--- a/packages/gateway/src/drain/drain.ts
+++ b/packages/gateway/src/drain/drain.ts
@@ -3,16 +3,16 @@
 import { waitFor } from '../runtime/wait-at-most.ts'
 
 /** Time in which the balancer takes an unready VM out, in milliseconds: two questions, a second apart, and their way. */
-const OUT_OF_ROTATION_MS = 2_500
+const BALANCER_REMOVAL_MS = 2_500
 /** The VM ends once no session has been open for this long, in milliseconds: a client may be connecting. */
-const NO_SESSION_MS = 300
+const NO_SESSION_GRACE_MS = 300
 /** A session that was idle for less is likely to be sent its next statement now, in milliseconds. */
-const SETTLED_IDLE_MS = 50
+const MIN_IDLE_BEFORE_CLOSE_MS = 50
 /** Part of the grace period in which open transactions may end. */
-const TRANSACTION_PART = 0.5
+const TRANSACTION_GRACE_FRACTION = 0.5
 /** The process ends this long before it is killed, in milliseconds. */
-const END_MARGIN_MS = 500
-const TICK_MS = 50
+const KILL_MARGIN_MS = 500
+const CHECK_INTERVAL_MS = 50
 
 export interface DrainOptions {
   clock: Clock
@@ -28,17 +28,17 @@
  * transactions after their part of the grace period.
  */
 export async function drainSessions ({ clock, logger, graceMs, listSessions, pause = waitFor }: DrainOptions): Promise<void> {
-  const startMs = clock.readNow()
-  const isPast = (afterMs: number): boolean => clock.readNow() - startMs >= afterMs
+  const startedAtMs = clock.readNow()
+  const hasElapsed = (afterMs: number): boolean => clock.readNow() - startedAtMs >= afterMs
   logger.info('draining', { sessions: listSessions().length, graceMs })
-  let emptySinceMs = startMs + OUT_OF_ROTATION_MS
-  while (!isPast(graceMs - END_MARGIN_MS)) {
+  let noSessionSinceMs = startedAtMs + BALANCER_REMOVAL_MS
+  while (!hasElapsed(graceMs - KILL_MARGIN_MS)) {
     const sessions = listSessions()
-    if (sessions.length > 0) emptySinceMs = Math.max(emptySinceMs, clock.readNow())
-    if (clock.readNow() - emptySinceMs >= NO_SESSION_MS) break
-    if (isPast(OUT_OF_ROTATION_MS)) for (const s of sessions) if (s.isBusy || s.idleMs >= SETTLED_IDLE_MS) s.closeWhenIdle()
-    if (isPast(graceMs * TRANSACTION_PART)) for (const s of sessions) s.endTransaction('the VM stops')
-    await pause(TICK_MS)
+    if (sessions.length > 0) noSessionSinceMs = Math.max(noSessionSinceMs, clock.readNow())
+    if (clock.readNow() - noSessionSinceMs >= NO_SESSION_GRACE_MS) break
+    if (hasElapsed(BALANCER_REMOVAL_MS)) for (const s of sessions) if (s.isBusy || s.idleMs >= MIN_IDLE_BEFORE_CLOSE_MS) s.closeWhenIdle()
+    if (hasElapsed(graceMs * TRANSACTION_GRACE_FRACTION)) for (const s of sessions) s.endTransaction('the VM stops')
+    await pause(CHECK_INTERVAL_MS)
   }
-  logger.info('drained', { left: listSessions().length, tookMs: Math.round(clock.readNow() - startMs) })
+  logger.info('drained', { left: listSessions().length, durationMs: Math.round(clock.readNow() - startedAtMs) })
 }
