--- a/packages/gateway/src/clients/client-listener.ts
+++ b/packages/gateway/src/clients/client-listener.ts
@@ -1,39 +1,40 @@
 import type { AnswerError, ClientStatement, TransactionState } from '../backend/statement.ts'
 
-/** Answer to one statement of a client. */
+/** Response to one statement of a client. */
 export interface ClientAnswer {
   rows?: readonly string[]
-  /** The endpoint's signature; absent where the gateway answers by itself. */
+  /** The endpoint's signature; absent if the gateway responds without an endpoint. */
   signature?: string | null
   error?: AnswerError | null
   state: TransactionState
-  /** Position to show, as `term.index`; absent shows none. */
+  /** Position to send to the client, as `term.index`; absent for none. */
   position?: { term: number, index: number } | null
 }
 
 /** The gateway's side of one client connection. */
 export abstract class ClientTransport {
-  /** Accepts the session. */
+  /** Tells the client that its session is accepted. */
   abstract sendWelcome (): void
-  /** Refuses the session and closes. */
+  /** Refuses the session and closes the connection. */
   abstract sendRefusal (error: AnswerError): void
   abstract sendAnswer (answer: ClientAnswer): void
   abstract close (): void
 }
 
-/** What a client does on its connection, in order. */
+/** Handlers for what a client does on its connection; they are called in the order of the events. */
 export interface ClientEvents {
-  /** First message: the database it wants and the key it shows. */
+  /** Handles the first message: the requested database, and the key that authenticates the client. */
   handleStartup: (database: string, key: string) => void
   handleStatement: (statement: ClientStatement) => void
-  /** A message that could not be decoded; `id` where one could be read. */
+  /** Handles a message that could not be decoded. */
   handleMalformed: (reason: string) => void
   handleClose: () => void
 }
 
 /** Accepts client connections. */
 export abstract class ClientListener {
+  /** Starts to listen. `accept` is called with each new connection, and returns the handlers for its events. */
   abstract listen (accept: (transport: ClientTransport) => ClientEvents): Promise<void>
-  /** Accepts no further connections. */
+  /** Stops accepting connections. */
   abstract stop (): Promise<void>
 }
--- a/packages/gateway/src/clock/elapsed-clock.test.ts
+++ b/packages/gateway/src/clock/elapsed-clock.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('elapsed clock', () => {
-  it('counts time for which the machine was suspended', () => {
+  it('includes the time for which the VM was suspended', () => {
     const sources = createSources()
     const clock = createClock(sources)
     const before = clock.readNow()
@@ -33,7 +33,7 @@
     expect(clock.readNow() - before).to.equal(5_100)
   })
 
-  it('does not follow jumps of the time of day, forward or back', () => {
+  it('ignores jumps of the wall clock, forward or back', () => {
     const sources = createSources()
     const clock = createClock(sources)
     const before = clock.readNow()
@@ -45,7 +45,7 @@
     expect(clock.readNow() - before).to.equal(100)
   })
 
-  it('never goes back', () => {
+  it('never goes backwards when the uptime and the wall clock do', () => {
     const sources = createSources()
     const clock = createClock(sources)
     sources.suspend(1_000)
--- a/packages/gateway/src/clock/elapsed-clock.ts
+++ b/packages/gateway/src/clock/elapsed-clock.ts
@@ -2,24 +2,24 @@
 import { performance } from 'node:perf_hooks'
 import { Clock } from '@camphorpitch/wire'
 
-/** Difference between the clocks above which a suspension is looked for, in milliseconds; above their jitter. */
+/** Drift between the clocks above which the uptime is read to check for a suspension; larger than the clocks' jitter. */
 const SUSPENSION_CHECK_DRIFT_MS = 15
 const MS_PER_SECOND = 1_000
 
 export interface ElapsedClockOptions {
-  /** Milliseconds that stand still while the VM is suspended. */
+  /** Reads a monotonic clock, in milliseconds, that does not advance while the VM is suspended. */
   readMonotonicMs?: () => number
-  /** Time of day in milliseconds; may jump. */
+  /** Reads the wall clock, in milliseconds; it may jump. */
   readWallMs?: () => number
-  /** Milliseconds since boot, suspensions included. */
+  /** Reads the time since boot, in milliseconds, including suspensions. */
   readUptimeMs?: () => number
 }
 
 /**
  * Monotonic time that includes suspensions of the VM.
  *
- * The steady clock stands still during a suspension while the time of day goes on, so wherever the two
- * part the uptime is read, which neither stands still nor jumps.
+ * During a suspension the wall clock advances and the monotonic clock does not. Whenever the offset between the two
+ * changes, the uptime is read: it advances during a suspension, and does not jump when the wall clock is set.
  *
  * @example new ElapsedClock().readNow() // milliseconds since an arbitrary origin
  */
--- a/packages/gateway/src/drain/drain.test.ts
+++ b/packages/gateway/src/drain/drain.test.ts
@@ -17,7 +17,7 @@
   endTransaction (): void { this.isBusy = false }
 }
 
-/** Drains while `step` says what clients do at each moment. @returns when the drain ended, in milliseconds */
+/** Drains while `runClients` does what the clients do at each time. @returns when the drain ended, in milliseconds */
 async function runDrain (sessions: Set<FakeSession>, runClients: (nowMs: number) => void): Promise<number> {
   const clock = new VirtualClock()
   const pause = async (ms: number): Promise<void> => {
@@ -30,7 +30,7 @@
 }
 
 describe('drain', () => {
-  it('serves a client that connects just as the VM was about to end', async () => {
+  it('serves a client that connects shortly before the drain would have ended', async () => {
     const sessions = new Set<FakeSession>()
     const lateSession = new FakeSession()
     const endedAtMs = await runDrain(sessions, nowMs => {
@@ -41,7 +41,7 @@
     expect(endedAtMs).to.be.greaterThan(3_050)
   })
 
-  it('keeps idle sessions until the balancer has taken the VM out', async () => {
+  it('keeps idle sessions open until the load balancer has removed the VM', async () => {
     const idleSession = new FakeSession()
     idleSession.isBusy = false
     idleSession.idleMs = 10_000
@@ -51,7 +51,7 @@
     expect(closedAtMs).to.be.greaterThan(2_000)
   })
 
-  it('gives an open transaction half of the grace period', async () => {
+  it('ends an open transaction after half of the grace period', async () => {
     const busySession = new FakeSession()
     const sessions = new Set([busySession])
     let endedAtMs = 0
--- a/packages/gateway/src/drain/drain.ts
+++ b/packages/gateway/src/drain/drain.ts
@@ -2,30 +2,32 @@
 import type { ClientSession } from '../sessions/client-session.ts'
 import { waitFor } from '../runtime/wait-at-most.ts'
 
-/** Time in which the balancer takes an unready VM out, in milliseconds: two questions, a second apart, and their way. */
+/** Time in which the load balancer removes a VM that is not ready: two readiness checks a second apart, and their latency. */
 const BALANCER_REMOVAL_MS = 2_500
-/** The VM ends once no session has been open for this long, in milliseconds: a client may be connecting. */
+/** The drain ends once no session has been open for this long: a client may be connecting in the meantime. */
 const NO_SESSION_GRACE_MS = 300
-/** A session that was idle for less is likely to be sent its next statement now, in milliseconds. */
+/** A session idle for less than this is not closed yet: its client is likely to send the next statement now. */
 const MIN_IDLE_BEFORE_CLOSE_MS = 50
-/** Part of the grace period in which open transactions may end. */
+/** Fraction of the grace period within which open transactions may end by themselves. */
 const TRANSACTION_GRACE_FRACTION = 0.5
-/** The process ends this long before it is killed, in milliseconds. */
+/** The drain ends this long before the grace period does, as the process is killed then. */
 const KILL_MARGIN_MS = 500
 const CHECK_INTERVAL_MS = 50
 
 export interface DrainOptions {
   clock: Clock
   logger: Logger
+  /** Time until the process is killed, in milliseconds. */
   graceMs: number
   listSessions: () => Array<Pick<ClientSession, 'isBusy' | 'idleMs' | 'closeWhenIdle' | 'endTransaction'>>
-  /** Lets time pass; a test replaces it together with the clock. */
+  /** Waits for the given time; tests replace it together with the clock. */
   pause?: (ms: number) => Promise<void>
 }
 
 /**
- * Ends all sessions without cutting a statement: idle ones once no new ones come, others when what they run ends,
- * transactions after their part of the grace period.
+ * Ends all sessions without interrupting a statement. Once the load balancer sends no new clients, idle sessions are
+ * closed, and busy ones when their statement or transaction ends. Transactions that are still open after their fraction
+ * of the grace period are ended.
  */
 export async function drainSessions ({ clock, logger, graceMs, listSessions, pause = waitFor }: DrainOptions): Promise<void> {
   const startedAtMs = clock.readNow()
@@ -40,5 +42,5 @@
     if (hasElapsed(graceMs * TRANSACTION_GRACE_FRACTION)) for (const s of sessions) s.endTransaction('the VM stops')
     await pause(CHECK_INTERVAL_MS)
   }
-  logger.info('drained', { left: listSessions().length, durationMs: Math.round(clock.readNow() - startedAtMs) })
+  logger.info('drain finished', { left: listSessions().length, durationMs: Math.round(clock.readNow() - startedAtMs) })
 }
