--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -28,14 +28,14 @@
 import { createGatewayStatus } from './telemetry/gateway-status.ts'
 
 /** Pause between two watches of the endpoints, in milliseconds: those of a group come and go together, and every VM is told of each. */
-const ENDPOINTS_PAUSE_MS = 250
+const ENDPOINTS_WATCH_PAUSE_MS = 250
 /** A configuration with thousands of routes takes a slow link half a second; versions that follow each other faster than this are fetched together. In milliseconds. */
 const CONFIGURATION_COALESCE_MS = 1_000
-const SWEEP_INTERVAL_MS = 500
+const MAINTENANCE_INTERVAL_MS = 500
 const MS_PER_SECOND = 1_000
 
 /** The outside of a gateway; each is one implementation of a seam. */
-export interface GatewayOutside {
+export interface GatewayAdapters {
   connector: EndpointConnector
   listener: ClientListener
   store: MetadataStore
@@ -44,7 +44,7 @@
 
 export interface GatewayOptions {
   settings: GatewaySettings
-  outside: GatewayOutside
+  outside: GatewayAdapters
   logger: Logger
   clock?: Clock
 }
@@ -59,9 +59,9 @@
   drain: () => Promise<void>
 }
 
-interface Parts {
+interface GatewayComponents {
   settings: GatewaySettings
-  outside: GatewayOutside
+  adapters: GatewayAdapters
   logger: Logger
   clock: Clock
   metrics: GatewayMetrics
@@ -79,53 +79,53 @@
 }
 
 /** Starts every slice of a VM's gateway and wires them to each other. */
-export async function startGateway ({ settings, outside, logger, clock = new ElapsedClock() }: GatewayOptions): Promise<Gateway> {
-  const parts = createParts(settings, outside, logger, clock)
-  const { network, fleet, failover, quotas, quotaRecord, configuration, groups, metrics, directory } = parts
+export async function startGateway ({ settings, outside: adapters, logger, clock = new ElapsedClock() }: GatewayOptions): Promise<Gateway> {
+  const components = createComponents(settings, adapters, logger, clock)
+  const { network, fleet, failover, quotas, quotaRecord, configuration, groups, metrics, directory } = components
   await network.listen(settings.host, settings.internalPorts[0])
   fleet.start()
   quotaRecord.start()
   failover.start()
-  const watches = startWatches(parts)
-  const sweeping = setInterval(() => {
+  const watches = startWatches(components)
+  const maintenanceTimer = setInterval(() => {
     groups.applyChanges(removeExpiredLapsedEntries(directory, clock.readNow()))
     for (const group of groups.list()) for (const pool of group.pools.values()) pool.runPlan()
-  }, SWEEP_INTERVAL_MS)
+  }, MAINTENANCE_INTERVAL_MS)
   const sessions = new Set<ClientSession>()
   configuration.subscribe(current => {
     metrics.configurationVersion.set(current.version)
     quotas.update()
     for (const session of sessions) session.applyConfiguration(current)
   })
-  await listenForClients(parts, sessions)
+  await listenForClients(components, sessions)
   let isDraining = false
   const isReady = (): boolean => !isDraining && configuration.current !== null && groups.list().length > 0
   return {
     metrics,
     isReady,
-    readStatus: () => createGatewayStatus({ ...parts, isReady, countSessions: () => sessions.size }),
+    readStatus: () => createGatewayStatus({ ...components, isReady, countSessions: () => sessions.size }),
     drain: async () => {
       isDraining = true
       await drainSessions({ clock, logger, graceMs: settings.graceS * 1_000, listSessions: () => [...sessions] })
-      clearInterval(sweeping)
+      clearInterval(maintenanceTimer)
       for (const w of watches) w.stop()
       failover.stop()
-      await Promise.all([fleet.stop(), outside.listener.stop()])
+      await Promise.all([fleet.stop(), adapters.listener.stop()])
       await network.stop()
     }
   }
 }
 
-function createParts (settings: GatewaySettings, outside: GatewayOutside, logger: Logger, clock: Clock): Parts {
-  const { store, connector, promoter } = outside
+function createComponents (settings: GatewaySettings, adapters: GatewayAdapters, logger: Logger, clock: Clock): GatewayComponents {
+  const { store, connector, promoter } = adapters
   const metrics = createGatewayMetrics()
   const configuration = new ConfigurationHolder(logger)
   // Unique to this start even where the time of day was set back: peers compare it only with earlier starts of this VM.
   const incarnation = Date.now()
   const self: VmEntry = { vm: settings.vm, host: settings.host, port: settings.internalPorts[0], failureDomain: settings.failureDomain, region: settings.region, incarnation }
   const members = createMemberState(self)
-  const control = new ControlConnections(connector)
-  const questions = new LeadershipQuestions({ clock, logger, control })
+  const controlConnections = new ControlConnections(connector)
+  const questions = new LeadershipQuestions({ clock, logger, control: controlConnections })
   const directory = createDirectory()
   const recordOpened = (service: string): void => metrics.connectionsOpened.inc({ service })
   const checkRole: GroupTableOptions['checkRole'] = (group, entry) => { questions.checkRole(group, entry).catch((error: unknown) => logger.error('role not checked', { error: String(error) })) }
@@ -134,16 +134,16 @@
   const quotas = new QuotaKeeper({ settings, clock, configuration, members, counting })
   const quotaRecord = new QuotaRecord({ store, clock, logger, members, quotas })
   const network = createNetwork(self, members, logger)
-  const messages = new FleetMessageHandler({ clock, logger, self, configuration, groups, quotas, members, quotaRecord })
-  const fleet = new Fleet({ state: members, network, store, clock, logger, ...messages.createHandlers() })
+  const fleetMessageHandler = new FleetMessageHandler({ clock, logger, self, configuration, groups, quotas, members, quotaRecord })
+  const fleet = new Fleet({ state: members, network, store, clock, logger, ...fleetMessageHandler.createHandlers() })
   const claims = new DutyClaims({ store, clock, logger, vm: settings.vm, incarnation })
-  const host = { clock, logger, vm: settings.vm, control, claims, promoter, ...messages.createPromotionCallbacks() }
+  const host = { clock, logger, vm: settings.vm, control: controlConnections, claims, promoter, ...fleetMessageHandler.createPromotionCallbacks() }
   const recordResult = (service: string, result: string): void => metrics.promotions.inc({ service, result })
   const failover = new FailoverWatch({ clock, logger, members, host, listGroups: () => groups.list(), poll: () => fleet.poll(), recordResult })
   const permits = new PermitRequests({ clock, logger, windowMs: settings.quota.windowS * MS_PER_SECOND, counting, quotas, send: (vm, message) => fleet.send(vm, message) })
   network.subscribeLoss(vm => permits.handleLoss(vm))
-  messages.connect(fleet, failover, permits)
-  return { settings, outside, logger, clock, metrics, configuration, directory, members, groups, quotas, permits, quotaRecord, questions, network, fleet, failover }
+  fleetMessageHandler.connect(fleet, failover, permits)
+  return { settings, adapters, logger, clock, metrics, configuration, directory, members, groups, quotas, permits, quotaRecord, questions, network, fleet, failover }
 }
 
 function createNetwork (self: VmEntry, members: MemberState, logger: Logger): WsPeerNetwork {
@@ -152,18 +152,18 @@
   return new WsPeerNetwork({ self: hello, clock: new MonotonicClock(), logger, findAddress })
 }
 
-function startWatches ({ outside: { store }, logger, clock, configuration, directory, groups }: Parts): Array<{ stop: () => void }> {
+function startWatches ({ adapters: { store }, logger, clock, configuration, directory, groups }: GatewayComponents): Array<{ stop: () => void }> {
   const handleRegained = (): void => recordStoreRecovery(directory, clock.readNow())
-  const endpoints = watchKind({
+  const endpointsWatch = watchKind({
     store,
     logger,
     kind: 'endpoints',
     handleStoreRecovery: handleRegained,
-    pauseMs: ENDPOINTS_PAUSE_MS,
+    pauseMs: ENDPOINTS_WATCH_PAUSE_MS,
     applyListing: listing => groups.applyChanges(applyListing(directory, listing, clock.readNow())),
     applyChanges: (changes, asOf) => groups.applyChanges(applyChanges(directory, changes, asOf, clock.readNow()))
   })
-  const versions = watchKind({
+  const configurationWatch = watchKind({
     store,
     logger,
     kind: 'configuration',
@@ -171,15 +171,15 @@
     applyListing: ({ items }) => { for (const { value } of items) if (value !== null) configuration.apply(value, 'list') },
     applyChanges: changes => { for (const { object } of changes) if (object.value !== null) configuration.apply(object.value, 'watch') }
   })
-  return [endpoints, versions]
+  return [endpointsWatch, configurationWatch]
 }
 
-async function listenForClients (parts: Parts, sessions: Set<ClientSession>): Promise<void> {
-  const { outside, settings, metrics } = parts
-  const host = new GatewaySessionHost({ ...parts, removeSession: session => { sessions.delete(session) } })
-  let accepted = 0
-  await outside.listener.listen(transport => {
-    const session = new ClientSession(`${settings.vm}-${++accepted}`, host, transport)
+async function listenForClients (components: GatewayComponents, sessions: Set<ClientSession>): Promise<void> {
+  const { adapters, settings, metrics } = components
+  const host = new GatewaySessionHost({ ...components, removeSession: session => { sessions.delete(session) } })
+  let acceptedCount = 0
+  await adapters.listener.listen(transport => {
+    const session = new ClientSession(`${settings.vm}-${++acceptedCount}`, host, transport)
     sessions.add(session)
     metrics.sessions.set(sessions.size)
     return session
--- a/packages/gateway/src/testing/memory-store.ts
+++ b/packages/gateway/src/testing/memory-store.ts
@@ -1,6 +1,6 @@
 import { HistoryGoneError, MetadataError, MetadataStore, RevisionConflictError, type Change, type Changes, type Listing, type ObjectKind, type ObjectKinds, type OwnKind, type StoredObject } from '../metadata/metadata-store.ts'
 
-type AnyObject = StoredObject<unknown>
+type StoredValue = StoredObject<unknown>
 
 /** A metadata store in memory with the faults of a real one, for tests. */
 export class MemoryStore extends MetadataStore {
@@ -9,61 +9,61 @@
   isDown = false
   /** Writes take effect and their answers are lost. */
   losesAnswers = false
-  readonly #objects = new Map<string, AnyObject>()
+  readonly #objects = new Map<string, StoredValue>()
   #history: Array<{ kind: ObjectKind, change: Change<unknown>, revision: number }> = []
-  #oldest = 0
-  #waiting: Array<() => void> = []
+  #oldestWatchableRevision = 0
+  #pendingWatches: Array<() => void> = []
 
   replace (kind: ObjectKind, name: string, value: unknown): number {
     const object = { name, revision: ++this.revision, value }
     this.#objects.set(`${kind}/${name}`, object)
-    this.#publish(kind, { object, isRemoved: false })
+    this.#publishChange(kind, { object, isRemoved: false })
     return object.revision
   }
 
-  drop (kind: ObjectKind, name: string): void {
+  remove (kind: ObjectKind, name: string): void {
     const object = this.#objects.get(`${kind}/${name}`)
     if (object === undefined) return
     this.#objects.delete(`${kind}/${name}`)
     this.revision++
-    this.#publish(kind, { object, isRemoved: true })
+    this.#publishChange(kind, { object, isRemoved: true })
   }
 
   /** Forgets all changes and cuts the watches. */
-  dropHistory (): void {
+  trimHistory (): void {
     this.#history = []
-    this.#oldest = this.revision
-    this.#finishWaits()
+    this.#oldestWatchableRevision = this.revision
+    this.#finishPendingWatches()
   }
 
   override async list<K extends ObjectKind> (kind: K): Promise<Listing<ObjectKinds[K]>> {
-    this.#check()
+    this.#ensureAvailable()
     const items = [...this.#objects].filter(([key]) => key.startsWith(`${kind}/`)).map(([, o]) => o)
     return { items: items as Array<StoredObject<ObjectKinds[K]>>, asOf: this.revision }
   }
 
   override async watch<K extends ObjectKind> (kind: K, since: number, waitMs: number): Promise<Changes<ObjectKinds[K]>> {
-    this.#check()
-    if (since < this.#oldest) throw new HistoryGoneError('compacted')
-    const read = (): Change<unknown>[] => this.#history.filter(h => h.kind === kind && h.revision > since).map(h => h.change)
-    if (read().length === 0) {
+    this.#ensureAvailable()
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('compacted')
+    const listChanges = (): Change<unknown>[] => this.#history.filter(h => h.kind === kind && h.revision > since).map(h => h.change)
+    if (listChanges().length === 0) {
       await new Promise<void>(resolve => {
-        this.#waiting.push(resolve)
+        this.#pendingWatches.push(resolve)
         setTimeout(resolve, waitMs).unref()
       })
     }
-    this.#check()
-    if (since < this.#oldest) throw new HistoryGoneError('compacted')
-    return { changes: read() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
+    this.#ensureAvailable()
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('compacted')
+    return { changes: listChanges() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
   }
 
   override async find (kind: OwnKind, name: string): Promise<StoredObject<unknown> | undefined> {
-    this.#check()
+    this.#ensureAvailable()
     return this.#objects.get(`${kind}/${name}`)
   }
 
   override async write (kind: OwnKind, name: string, value: unknown, revision: number | null): Promise<number> {
-    this.#check()
+    this.#ensureAvailable()
     if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('changed')
     const written = this.replace(kind, name, value)
     if (this.losesAnswers) throw new MetadataError('no answer')
@@ -71,21 +71,21 @@
   }
 
   override async delete (kind: OwnKind, name: string, revision: number): Promise<void> {
-    this.#check()
+    this.#ensureAvailable()
     if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('changed')
-    this.drop(kind, name)
+    this.remove(kind, name)
   }
 
-  #check (): void {
+  #ensureAvailable (): void {
     if (this.isDown) throw new MetadataError('down')
   }
 
-  #publish (kind: ObjectKind, change: Change<unknown>): void {
+  #publishChange (kind: ObjectKind, change: Change<unknown>): void {
     this.#history.push({ kind, change, revision: this.revision })
-    this.#finishWaits()
+    this.#finishPendingWatches()
   }
 
-  #finishWaits (): void {
-    for (const resolve of this.#waiting.splice(0)) resolve()
+  #finishPendingWatches (): void {
+    for (const resolve of this.#pendingWatches.splice(0)) resolve()
   }
 }
