--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -27,14 +27,18 @@
 import { createGatewayMetrics, type GatewayMetrics } from './telemetry/gateway-metrics.ts'
 import { createGatewayStatus } from './telemetry/gateway-status.ts'
 
-/** Pause between two watches of the endpoints, in milliseconds: those of a group come and go together, and every VM is told of each. */
+/** Pause between two watches of the endpoints: the entries of a group change together, and each change goes to every VM. */
 const ENDPOINTS_WATCH_PAUSE_MS = 250
-/** A configuration with thousands of routes takes a slow link half a second; versions that follow each other faster than this are fetched together. In milliseconds. */
+/**
+ * Configuration versions that follow each other faster than this are fetched together: one with thousands of routes
+ * takes half a second over a slow link.
+ */
 const CONFIGURATION_COALESCE_MS = 1_000
+/** Interval at which lapsed endpoints are removed and connection pools adjusted. */
 const MAINTENANCE_INTERVAL_MS = 500
 const MS_PER_SECOND = 1_000
 
-/** The outside of a gateway; each is one implementation of a seam. */
+/** The implementations that connect a gateway to its clients, to the endpoints and to the platform. */
 export interface GatewayAdapters {
   connector: EndpointConnector
   listener: ClientListener
@@ -53,9 +57,12 @@
 export interface Gateway {
   metrics: GatewayMetrics
   isReady: () => boolean
-  /** What this VM believes and uses, for operators. */
+  /** Describes for operators how this VM sees the fleet and the services, and what it uses. */
   readStatus: () => GatewayStatus
-  /** Ends without cutting a running statement or, for half of the grace period, an open transaction. */
+  /**
+   * Stops the gateway without interrupting running statements. Transactions that are still open after half of the grace
+   * period are ended.
+   */
   drain: () => Promise<void>
 }
 
@@ -78,7 +85,7 @@
   failover: FailoverWatch
 }
 
-/** Starts every slice of a VM's gateway and wires them to each other. */
+/** Starts all slices of a VM's gateway, connected to each other. Resolves once it listens for clients. */
 export async function startGateway ({ settings, outside: adapters, logger, clock = new ElapsedClock() }: GatewayOptions): Promise<Gateway> {
   const components = createComponents(settings, adapters, logger, clock)
   const { network, fleet, failover, quotas, quotaRecord, configuration, groups, metrics, directory } = components
@@ -120,7 +127,7 @@
   const { store, connector, promoter } = adapters
   const metrics = createGatewayMetrics()
   const configuration = new ConfigurationHolder(logger)
-  // Unique to this start even where the time of day was set back: peers compare it only with earlier starts of this VM.
+  // Distinct for each start even if the wall clock was set back; peers compare it only with earlier starts of this VM.
   const incarnation = Date.now()
   const self: VmEntry = { vm: settings.vm, host: settings.host, port: settings.internalPorts[0], failureDomain: settings.failureDomain, region: settings.region, incarnation }
   const members = createMemberState(self)
@@ -128,7 +135,7 @@
   const questions = new LeadershipQuestions({ clock, logger, control: controlConnections })
   const directory = createDirectory()
   const recordOpened = (service: string): void => metrics.connectionsOpened.inc({ service })
-  const checkRole: GroupTableOptions['checkRole'] = (group, entry) => { questions.checkRole(group, entry).catch((error: unknown) => logger.error('role not checked', { error: String(error) })) }
+  const checkRole: GroupTableOptions['checkRole'] = (group, entry) => { questions.checkRole(group, entry).catch((error: unknown) => logger.error('endpoint role check failed', { error: String(error) })) }
   const groups = new GroupTable({ connector, clock, logger, configuration, members, recordOpened, checkRole })
   const counting = new CountingVms(members)
   const quotas = new QuotaKeeper({ settings, clock, configuration, members, counting })
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -3,30 +3,35 @@
 
 const addressSchema = z.string().regex(/^[\d.]+:\d+$/, 'expected ADDRESS:PORT')
 
-/** Settings of one VM's gateway, in JSON; unknown fields are ignored. */
+/** Settings of one VM's gateway, read from JSON; unknown fields are ignored. */
 export const gatewaySettingsSchema = z.object({
   vm: z.string().min(1),
   failureDomain: z.string().min(1),
   region: z.string().default(''),
   /** Region of each failure domain. */
   regions: z.record(z.string(), z.string()).default({}),
-  /** Address for links between VMs and for metrics. */
+  /** Address at which this VM listens for links from other VMs and for metrics requests. */
   host: z.string(),
-  /** Where clients connect. */
+  /** Address to which clients connect. */
   clients: addressSchema,
-  /** Where the balancer asks whether this VM is ready. */
+  /** Address at which the load balancer checks whether this VM is ready. */
   readiness: addressSchema,
-  /** First and last of the ports for links between VMs. */
+  /** First and last port of the range for links between VMs. */
   internalPorts: z.tuple([z.number().int(), z.number().int()]),
-  /** Port of `/metrics`; the default is the one of OpenTelemetry's Prometheus exporter. */
+  /** Port of `/metrics`; the default is that of OpenTelemetry's Prometheus exporter. */
   metricsPort: z.number().int().positive().default(9_464),
-  /** Whether the whole system starts for the first time. */
+  /** Whether the whole system starts for the first time, so that there is no earlier use of limits to account for. */
   isFirstStart: z.boolean().default(false),
+  /** Address of the metadata store. */
   store: addressSchema,
+  /** Address of the platform's promoter. */
   promoter: addressSchema,
   quota: z.object({
+    /** Length of the window over which demand is measured, in seconds. */
     windowS: z.number().positive().default(5),
+    /** Fraction of a workspace's limit by which the fleet may exceed it in a window. */
     overshoot: z.number().nonnegative().default(0.1),
+    /** Number of operations by which the fleet may exceed the limit in a window, in addition to `overshoot`. */
     slack: z.number().nonnegative().default(20)
   }).default({ windowS: 5, overshoot: 0.1, slack: 20 }),
   /** Time between SIGTERM and the end of the process, in seconds. */
--- a/packages/gateway/src/telemetry/gateway-status.test.ts
+++ b/packages/gateway/src/telemetry/gateway-status.test.ts
@@ -9,8 +9,8 @@
 
 const entry: EndpointEntry = { endpoint: 'o-2', service: 'orders', address: '10.0.0.1:1', failureDomain: 'north', role: 'replica', isDraining: false, slots: 3, warmupLeftMs: 0, startedAtMs: 0 }
 
-describe('status of a gateway', () => {
-  it('names why an endpoint is doubtful, and nothing for a healthy one', () => {
+describe('gateway status', () => {
+  it('lists the reasons why an endpoint is doubtful, and none for a healthy one', () => {
     const health = createHealth()
     expect(listDoubts({ entry, health, laggingUntilMs: -Infinity }, 1_000)).to.deep.equal([])
     recordSent(health, 1_000)
@@ -21,7 +21,7 @@
     expect(listDoubts({ entry, health, laggingUntilMs: 0 }, 2_100)).to.include('refusing').and.not.to.include('avoided')
   })
 
-  it('is served beside the metrics', async () => {
+  it('is served by the same server as the metrics', async () => {
     const server = startMetricsServer({ host: '127.0.0.1', port: 0, registry: new Registry(), readStatus: () => ({ vm: 'vm-1' }), logger: createLogger({ process: 'test', level: 'silent' }) })
     await new Promise(resolve => server.once('listening', resolve))
     const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`
--- a/packages/gateway/src/telemetry/gateway-status.ts
+++ b/packages/gateway/src/telemetry/gateway-status.ts
@@ -18,7 +18,7 @@
   countSessions: () => number
 }
 
-/** Describes what this VM believes and uses, for operators. */
+/** Describes for operators how this VM sees the fleet and the services, and what it uses. */
 export function createGatewayStatus ({ clock, configuration, members, groups, quotas, isReady, countSessions }: StatusSources): GatewayStatus {
   const nowMs = clock.readNow()
   return {
@@ -46,7 +46,7 @@
   }
 }
 
-/** Why an endpoint is not used, or others are preferred to it. */
+/** Lists the reasons why an endpoint is not used, or other endpoints are preferred to it; empty for a healthy one. */
 export function listDoubts (pool: Pick<EndpointPool, 'entry' | 'health' | 'laggingUntilMs'>, nowMs: number): EndpointDoubt[] {
   const { entry, health, laggingUntilMs } = pool
   const doubts: EndpointDoubt[] = []
--- a/packages/gateway/src/telemetry/metrics-server.ts
+++ b/packages/gateway/src/telemetry/metrics-server.ts
@@ -6,12 +6,15 @@
   host: string
   port: number
   registry: Registry
-  /** What `/status` answers. */
+  /** Returns the content of `/status`, which is sent as JSON. */
   readStatus: () => unknown
   logger: Logger
 }
 
-/** Serves `/metrics` in Prometheus' text format and `/status` in JSON. Clients are served without it all the same. */
+/**
+ * Serves `/metrics` in Prometheus' text format and `/status` in JSON. If it cannot listen, the error is only logged, as
+ * clients can be served without it.
+ */
 export function startMetricsServer ({ host, port, registry, readStatus, logger }: MetricsServerOptions): Server {
   const server = createServer((request, response) => {
     if (request.url === '/status') {
@@ -21,11 +24,11 @@
     registry.metrics().then(
       text => response.writeHead(200, { 'content-type': registry.contentType }).end(text),
       (error: unknown) => {
-        logger.error('metrics not collected', { error: String(error) })
+        logger.error('metrics collection failed', { error: String(error) })
         response.writeHead(500).end()
       }
     )
   })
-  server.on('error', error => logger.error('metrics not served', { port, reason: error.message }))
+  server.on('error', error => logger.error('metrics server failed', { port, reason: error.message }))
   return server.listen(port, host)
 }
--- a/packages/gateway/src/testing/memory-store.ts
+++ b/packages/gateway/src/testing/memory-store.ts
@@ -2,18 +2,19 @@
 
 type StoredValue = StoredObject<unknown>
 
-/** A metadata store in memory with the faults of a real one, for tests. */
+/** An in-memory metadata store for tests, which can simulate the failures of a real one. */
 export class MemoryStore extends MetadataStore {
   revision = 0
-  /** While set, every call fails. */
+  /** While set, every call rejects. */
   isDown = false
-  /** Writes take effect and their answers are lost. */
+  /** While set, writes take effect, but reject as if their response had been lost. */
   losesAnswers = false
   readonly #objects = new Map<string, StoredValue>()
   #history: Array<{ kind: ObjectKind, change: Change<unknown>, revision: number }> = []
   #oldestWatchableRevision = 0
   #pendingWatches: Array<() => void> = []
 
+  /** Creates or replaces an object, as another program would. @returns the object's new revision */
   replace (kind: ObjectKind, name: string, value: unknown): number {
     const object = { name, revision: ++this.revision, value }
     this.#objects.set(`${kind}/${name}`, object)
@@ -21,6 +22,7 @@
     return object.revision
   }
 
+  /** Removes an object, as another program would; nothing happens if there is none. */
   remove (kind: ObjectKind, name: string): void {
     const object = this.#objects.get(`${kind}/${name}`)
     if (object === undefined) return
@@ -29,7 +31,7 @@
     this.#publishChange(kind, { object, isRemoved: true })
   }
 
-  /** Forgets all changes and cuts the watches. */
+  /** Discards the change history and ends the pending watches. */
   trimHistory (): void {
     this.#history = []
     this.#oldestWatchableRevision = this.revision
@@ -44,7 +46,7 @@
 
   override async watch<K extends ObjectKind> (kind: K, since: number, waitMs: number): Promise<Changes<ObjectKinds[K]>> {
     this.#ensureAvailable()
-    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('compacted')
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('the store no longer has the changes since that revision')
     const listChanges = (): Change<unknown>[] => this.#history.filter(h => h.kind === kind && h.revision > since).map(h => h.change)
     if (listChanges().length === 0) {
       await new Promise<void>(resolve => {
@@ -53,7 +55,7 @@
       })
     }
     this.#ensureAvailable()
-    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('compacted')
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('the store no longer has the changes since that revision')
     return { changes: listChanges() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
   }
 
@@ -64,20 +66,20 @@
 
   override async write (kind: OwnKind, name: string, value: unknown, revision: number | null): Promise<number> {
     this.#ensureAvailable()
-    if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('changed')
+    if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('the object has another revision')
     const written = this.replace(kind, name, value)
-    if (this.losesAnswers) throw new MetadataError('no answer')
+    if (this.losesAnswers) throw new MetadataError('the response to the write was lost')
     return written
   }
 
   override async delete (kind: OwnKind, name: string, revision: number): Promise<void> {
     this.#ensureAvailable()
-    if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('changed')
+    if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('the object has another revision')
     this.remove(kind, name)
   }
 
   #ensureAvailable (): void {
-    if (this.isDown) throw new MetadataError('down')
+    if (this.isDown) throw new MetadataError('the metadata store is down')
   }
 
   #publishChange (kind: ObjectKind, change: Change<unknown>): void {
--- a/packages/gateway/src/testing/virtual-clock.ts
+++ b/packages/gateway/src/testing/virtual-clock.ts
@@ -1,6 +1,6 @@
 import { Clock } from '@camphorpitch/wire'
 
-/** A clock that stands still until a test moves it. */
+/** A clock that advances only when a test sets `nowMs`. */
 export class VirtualClock extends Clock {
   nowMs = 0
   override readNow (): number { return this.nowMs }
