--- a/packages/gateway/src/fleet/configuration-fetch.ts
+++ b/packages/gateway/src/fleet/configuration-fetch.ts
@@ -1,40 +1,41 @@
-/** The store is given this long to deliver a version that another VM has, in milliseconds. */
-const STORE_FIRST_MS = 300
-/** A VM that has not sent its configuration after this long is given up, in milliseconds; a slow link takes a second for a large one. */
-const ANSWER_WAIT_MS = 2_000
+/** How long the store may take to deliver a version that another VM reports before that VM is requested to send it. */
+const STORE_DELIVERY_WAIT_MS = 300
+/** How long to wait for one VM's configuration before another VM is tried; a large one takes a second over a slow link. */
+const VM_RESPONSE_TIMEOUT_MS = 2_000
 
 /**
- * When to ask another VM for its configuration, and which.
+ * State that decides when to request the configuration from another VM, and from which one.
  *
- * The load pattern: many VMs of a large fleet are turned away by the store while a large configuration changes.
- * Each asks one VM at a time, so that links carry it once for each VM, whatever the number of VMs that have it.
+ * While a large configuration changes, the store rejects requests from many VMs of a large fleet. Each of them
+ * requests it from one VM at a time, so that it is transferred once per VM, however many VMs could send it.
  */
 export interface ConfigurationFetch {
-  /** Since when a later version than this VM's is known to exist; `null` while none is. */
-  behindSinceMs: number | null
-  askedAtMs: number
+  /** When a version later than the local one was first reported; `null` while the local version is the latest known. */
+  outdatedSinceMs: number | null
+  /** When a VM was last requested to send its configuration; `-Infinity` while no request is pending. */
+  requestedAtMs: number
 }
 
 export function createConfigurationFetch (): ConfigurationFetch {
-  return { behindSinceMs: null, askedAtMs: -Infinity }
+  return { outdatedSinceMs: null, requestedAtMs: -Infinity }
 }
 
 /**
- * Takes in the version that another VM has.
+ * Applies the configuration version that another VM reports. A returned `true` is recorded as a request sent.
  *
- * @returns whether to ask that VM for it now
+ * @returns whether to request the configuration from that VM now
  */
-export function applyOfferedVersion (state: ConfigurationFetch, offered: number, own: number, nowMs: number): boolean {
-  if (offered <= own) return false
-  state.behindSinceMs ??= nowMs
-  const isStoreLate = own === 0 || nowMs - state.behindSinceMs >= STORE_FIRST_MS
-  if (!isStoreLate || nowMs - state.askedAtMs < ANSWER_WAIT_MS) return false
-  state.askedAtMs = nowMs
+export function applyReportedVersion (state: ConfigurationFetch, reportedVersion: number, localVersion: number, nowMs: number): boolean {
+  if (reportedVersion <= localVersion) return false
+  state.outdatedSinceMs ??= nowMs
+  const isStoreLate = localVersion === 0 || nowMs - state.outdatedSinceMs >= STORE_DELIVERY_WAIT_MS
+  if (!isStoreLate || nowMs - state.requestedAtMs < VM_RESPONSE_TIMEOUT_MS) return false
+  state.requestedAtMs = nowMs
   return true
 }
 
-/** Takes in that a configuration has come, from wherever. */
-export function recordConfiguration (state: ConfigurationFetch): void {
-  state.behindSinceMs = null
-  state.askedAtMs = -Infinity
+/** Ends the pending request once a configuration has been applied, whether it came from the store or from a VM. */
+export function resetConfigurationFetch (state: ConfigurationFetch): void {
+  state.outdatedSinceMs = null
+  state.requestedAtMs = -Infinity
 }
--- a/packages/gateway/src/fleet/fleet.ts
+++ b/packages/gateway/src/fleet/fleet.ts
@@ -2,25 +2,27 @@
 import type { z } from 'zod'
 import { RevisionConflictError, type MetadataStore } from '../metadata/metadata-store.ts'
 import { watchKind, type KindWatch } from '../metadata/watch-kind.ts'
-import { addMember, FORGET_AFTER_MS, isHeard, listPolled, measureMemberSilence, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
+import { addMember, REMOVE_ENTRY_AFTER_MS, isHeard, listPolled, measureUnansweredMs, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
 import { fleetMessageSchema, vmEntrySchema, type FleetMessage, type pollSchema, type Report } from './messages.ts'
 
 export const FLEET_SLICE = 'fleet'
-/** Time between two rounds of polls, in milliseconds. */
+/** Time between two rounds of polls. */
 const POLL_INTERVAL_MS = 500
-/** The same right after a start, when this VM knows nothing yet. */
-const FIRST_POLL_INTERVAL_MS = 150
-const FIRST_POLLS = 8
-/** VMs seldom come and go, and polls tell of new ones as well; in milliseconds. */
-const VMS_WATCH_MS = 15_000
-/** Pause between two watches, in milliseconds: a fleet that starts together changes with every VM. */
+/** Time between two rounds of polls right after a start: shorter, as this VM has no reports yet. */
+const STARTUP_POLL_INTERVAL_MS = 150
+/** Number of rounds after a start with the shorter interval. */
+const STARTUP_ROUND_COUNT = 8
+/** Duration of one watch of the VM entries: VMs are seldom added or removed, and reports list new VMs as well. */
+const VMS_WATCH_TIMEOUT_MS = 15_000
+/** Pause between two watches of the VM entries: when a whole fleet starts, every VM that registers changes them. */
 const VMS_WATCH_PAUSE_MS = 1_500
-const REGISTER_RETRY_MS = 700
-/** Time for the farewell to leave the process, in milliseconds. */
-const FAREWELL_MS = 30
-const SWEEP_ROUNDS = 20
-/** Polls whose sending time is kept. */
-const MOST_POLLS = 64
+const REGISTRATION_RETRY_DELAY_MS = 700
+/** Time for the `left` messages to be sent before the process ends. */
+const LEFT_MESSAGE_FLUSH_MS = 30
+/** Rounds of polls between two removals of unresponsive VMs. */
+const ROUNDS_PER_MEMBER_SWEEP = 20
+/** Number of latest polls whose sending time is kept; reports that answer an older poll are ignored. */
+const MAX_TRACKED_POLLS = 64
 
 export type Poll = z.infer<typeof pollSchema>
 
@@ -30,25 +32,28 @@
   store: MetadataStore
   clock: Clock
   logger: Logger
-  /** What this VM knows that a poll says less of. */
+  /** Creates the response to another VM's poll. */
   createReport: (poll: Poll) => Report
   createPoll: (sequence: number) => Poll
-  applyReport: (vm: string, report: Report, askedAtMs: number) => void
+  /** Applies the report with which `vm` answered a poll that was sent at `pollSentAtMs`. */
+  applyReport: (vm: string, report: Report, pollSentAtMs: number) => void
+  /** Handles every message other than polls, reports and `left`. */
   handleMessage: (vm: string, message: FleetMessage) => void
+  /** Called after the polls of each round have been sent. */
   handleRound: () => void
-  /** A VM has ended by itself. */
+  /** Called when a VM has announced that it leaves the fleet. */
   removeVm: (vm: string) => void
 }
 
-/** Knows the other VMs, and exchanges reports with them. */
+/** Keeps the list of the other VMs up to date, and exchanges reports with them. */
 export class Fleet {
   readonly #options: FleetOptions
-  readonly #polls = new Map<number, number>()
-  #sequence = 0
+  readonly #pollSentAtMsBySequence = new Map<number, number>()
+  #lastPollSequence = 0
   #round = 0
-  #timer: NodeJS.Timeout | undefined
-  #watch: KindWatch<'vms'> | undefined
-  #ownRevision: number | null = null
+  #roundTimer: NodeJS.Timeout | undefined
+  #vmsWatch: KindWatch<'vms'> | undefined
+  #localEntryRevision: number | null = null
   #isStopped = false
 
   constructor (options: FleetOptions) {
@@ -56,17 +61,17 @@
   }
 
   get isRegistered (): boolean {
-    return this.#ownRevision !== null
+    return this.#localEntryRevision !== null
   }
 
   start (): void {
     const { network, store, logger } = this.#options
     network.subscribe(FLEET_SLICE, (from, body) => this.#receive(from, body))
-    this.#watch = watchKind({
+    this.#vmsWatch = watchKind({
       store,
       logger,
       kind: 'vms',
-      waitMs: VMS_WATCH_MS,
+      waitMs: VMS_WATCH_TIMEOUT_MS,
       pauseMs: VMS_WATCH_PAUSE_MS,
       applyListing: ({ items }) => {
         this.#options.state.isListed = true
@@ -79,16 +84,16 @@
         }
       }
     })
-    this.#register().catch((error: unknown) => logger.error('registration ended', { error: String(error) }))
+    this.#register().catch((error: unknown) => logger.error('vm registration failed', { error: String(error) }))
     this.#scheduleRound()
   }
 
-  /** Polls now, as something depends on fresh reports. */
+  /** Sends polls now, for a caller that needs up-to-date reports before the next round. */
   poll (): void {
     const { state, network, clock, createPoll } = this.#options
-    const poll = createPoll(++this.#sequence)
-    this.#polls.set(this.#sequence, clock.readNow())
-    this.#polls.delete(this.#sequence - MOST_POLLS)
+    const poll = createPoll(++this.#lastPollSequence)
+    this.#pollSentAtMsBySequence.set(this.#lastPollSequence, clock.readNow())
+    this.#pollSentAtMsBySequence.delete(this.#lastPollSequence - MAX_TRACKED_POLLS)
     for (const member of listPolled(state, this.#round)) {
       recordPoll(member, clock.readNow())
       network.send(member.entry.vm, FLEET_SLICE, poll)
@@ -99,41 +104,41 @@
     this.#options.network.send(vm, FLEET_SLICE, message)
   }
 
-  /** Tells the others that this VM ends, and removes its entry. */
+  /** Announces to the other VMs that this VM leaves the fleet, and removes its entry from the store. */
   async stop (): Promise<void> {
     const { state: { self, members }, store, logger } = this.#options
     this.#isStopped = true
-    clearTimeout(this.#timer)
-    this.#watch?.stop()
+    clearTimeout(this.#roundTimer)
+    this.#vmsWatch?.stop()
     for (const vm of members.keys()) this.send(vm, { type: 'left', incarnation: self.incarnation })
     try {
-      if (this.#ownRevision !== null) await store.delete('vms', self.vm, this.#ownRevision)
+      if (this.#localEntryRevision !== null) await store.delete('vms', self.vm, this.#localEntryRevision)
     } catch (error) {
-      logger.info('own entry not removed', { reason: String(error) })
+      logger.info('removal of the local vm entry failed', { reason: String(error) })
     }
-    await new Promise(resolve => setTimeout(resolve, FAREWELL_MS))
+    await new Promise(resolve => setTimeout(resolve, LEFT_MESSAGE_FLUSH_MS))
   }
 
   #scheduleRound (): void {
     if (this.#isStopped) return
-    this.#timer = setTimeout(() => {
+    this.#roundTimer = setTimeout(() => {
       this.#scheduleRound()
       this.#startRound()
-    }, this.#round < FIRST_POLLS ? FIRST_POLL_INTERVAL_MS : POLL_INTERVAL_MS)
+    }, this.#round < STARTUP_ROUND_COUNT ? STARTUP_POLL_INTERVAL_MS : POLL_INTERVAL_MS)
   }
 
   #startRound (): void {
     this.#round++
     this.poll()
     this.#options.handleRound()
-    if (this.#round % SWEEP_ROUNDS === 0) this.#removeForgotten()
+    if (this.#round % ROUNDS_PER_MEMBER_SWEEP === 0) this.#removeUnresponsiveMembers()
   }
 
   #receive (from: Hello, body: unknown): void {
     const { logger, network, createReport, handleMessage } = this.#options
     const parsed = fleetMessageSchema.safeParse(body)
     if (!parsed.success) {
-      logger.warn('malformed message of a VM', { vm: from.vm, reason: parsed.error.message })
+      logger.warn('malformed message from another vm', { vm: from.vm, reason: parsed.error.message })
       return
     }
     const message = parsed.data
@@ -147,64 +152,64 @@
 
   #handleLeft (vm: string, incarnation: number): void {
     const { state, logger, removeVm } = this.#options
-    logger.info('vm left', { vm })
+    logger.info('vm left the fleet', { vm })
     recordLeft(state, vm, incarnation)
     removeVm(vm)
   }
 
   #receiveReport (vm: string, report: Report): void {
-    const askedAtMs = this.#polls.get(report.sequence)
-    if (askedAtMs === undefined) return
+    const pollSentAtMs = this.#pollSentAtMsBySequence.get(report.sequence)
+    if (pollSentAtMs === undefined) return
     const { state, clock, logger, applyReport } = this.#options
     const member = state.members.get(vm)
-    if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm heard', { vm })
-    recordReport(state, vm, askedAtMs)
+    if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm became responsive', { vm })
+    recordReport(state, vm, pollSentAtMs)
     for (const entry of report.vms ?? []) this.#addEntry(entry)
     if (report.vms !== undefined) state.isListed = true
-    applyReport(vm, report, askedAtMs)
+    applyReport(vm, report, pollSentAtMs)
   }
 
   #addEntry (value: unknown): void {
     const { state, logger } = this.#options
     const parsed = vmEntrySchema.safeParse(value)
     if (!parsed.success) return
-    if (addMember(state, parsed.data)) logger.info('vm known', { ...parsed.data })
+    if (addMember(state, parsed.data)) logger.info('vm added to the members of the fleet', { ...parsed.data })
   }
 
   async #register (): Promise<void> {
     const { store, state: { self }, logger } = this.#options
-    for (let known: number | null = null; !this.#isStopped && this.#ownRevision === null;) {
+    for (let expectedRevision: number | null = null; !this.#isStopped && this.#localEntryRevision === null;) {
       try {
-        this.#ownRevision = await store.write('vms', self.vm, self, known)
-        logger.info('registered', { vm: self.vm })
+        this.#localEntryRevision = await store.write('vms', self.vm, self, expectedRevision)
+        logger.info('local vm entry registered', { vm: self.vm })
       } catch (error) {
-        known = error instanceof RevisionConflictError ? await this.#findOwnRevision() : known
-        if (!(error instanceof RevisionConflictError)) await new Promise(resolve => setTimeout(resolve, REGISTER_RETRY_MS))
+        expectedRevision = error instanceof RevisionConflictError ? await this.#findLocalEntryRevision() : expectedRevision
+        if (!(error instanceof RevisionConflictError)) await new Promise(resolve => setTimeout(resolve, REGISTRATION_RETRY_DELAY_MS))
       }
     }
   }
 
-  async #findOwnRevision (): Promise<number | null> {
+  async #findLocalEntryRevision (): Promise<number | null> {
     const { store, state: { self }, logger } = this.#options
     try {
       return (await store.find('vms', self.vm))?.revision ?? null
     } catch (error) {
-      logger.info('own entry not read', { reason: String(error) })
+      logger.info('lookup of the local vm entry failed', { reason: String(error) })
       return null
     }
   }
 
-  /** VMs that have been silent for long have gone for good. */
-  #removeForgotten (): void {
+  /** Removes VMs that have left polls unanswered for so long that they are taken as stopped for good. */
+  #removeUnresponsiveMembers (): void {
     const { state, clock, store, logger } = this.#options
     const nowMs = clock.readNow()
     for (const member of state.members.values()) {
-      if (measureMemberSilence(member, nowMs) < FORGET_AFTER_MS) continue
+      if (measureUnansweredMs(member, nowMs) < REMOVE_ENTRY_AFTER_MS) continue
       const { vm } = member.entry
       store.find('vms', vm).then(async found => { if (found !== undefined) await store.delete('vms', vm, found.revision) })
-        .catch((error: unknown) => logger.info('entry of a lost vm not removed', { vm, reason: String(error) }))
+        .catch((error: unknown) => logger.info('removal of an unresponsive vm entry failed', { vm, reason: String(error) }))
       removeMember(state, vm)
-      logger.info('vm forgotten', { vm })
+      logger.info('unresponsive vm removed from the members of the fleet', { vm })
     }
   }
 }
--- a/packages/gateway/src/metadata/watch-kind.test.ts
+++ b/packages/gateway/src/metadata/watch-kind.test.ts
@@ -10,15 +10,15 @@
   while (!isDone()) await new Promise(resolve => setTimeout(resolve, STEP_MS))
 }
 
-function startWatch (store: MemoryStore): { names: Set<string>, returns: () => number, stop: () => void } {
+function startWatch (store: MemoryStore): { names: Set<string>, countRecoveries: () => number, stop: () => void } {
   const names = new Set<string>()
-  let returned = 0
+  let recoveryCount = 0
   const watch = watchKind({
     store,
     logger,
     kind: 'vms',
     waitMs: 50,
-    handleRegained: () => returned++,
+    handleStoreRecovery: () => recoveryCount++,
     applyListing: ({ items }) => {
       names.clear()
       for (const { name } of items) names.add(name)
@@ -30,67 +30,67 @@
       }
     }
   })
-  return { names, returns: () => returned, stop: () => watch.stop() }
+  return { names, countRecoveries: () => recoveryCount, stop: () => watch.stop() }
 }
 
-describe('watch of a kind', () => {
-  it('keeps up with what is added and removed', async () => {
+describe('metadata watch of a kind', () => {
+  it('follows objects that are added and removed', async () => {
     const store = new MemoryStore()
     store.replace('vms', 'a', {})
     const watch = startWatch(store)
     await waitUntil(() => watch.names.has('a'))
     store.replace('vms', 'b', {})
-    store.drop('vms', 'a')
+    store.remove('vms', 'a')
     await waitUntil(() => watch.names.has('b') && !watch.names.has('a'))
     watch.stop()
   })
 
-  it('carries an object once for many versions that follow each other, and ends with the last', async () => {
-    const VERSIONS = 40
+  it('delivers far fewer values than versions in quick succession, and ends with the last version', async () => {
+    const VERSION_COUNT = 40
     const store = new MemoryStore()
-    const carried: unknown[] = []
+    const receivedValues: unknown[] = []
     const watch = watchKind({
       store,
       logger,
       kind: 'vms',
       coalesceMs: 200,
-      applyListing: ({ items }) => { for (const { value } of items) carried.push(value) },
-      applyChanges: changes => { for (const { object } of changes) carried.push(object.value) }
+      applyListing: ({ items }) => { for (const { value } of items) receivedValues.push(value) },
+      applyChanges: changes => { for (const { object } of changes) receivedValues.push(object.value) }
     })
-    for (let version = 1; version <= VERSIONS; version++) {
+    for (let version = 1; version <= VERSION_COUNT; version++) {
       store.replace('vms', 'a', { version })
       await new Promise(resolve => setTimeout(resolve, STEP_MS))
     }
-    await waitUntil(() => (carried.at(-1) as { version: number }).version === VERSIONS)
-    expect(carried.length).to.be.lessThan(VERSIONS / 2)
+    await waitUntil(() => (receivedValues.at(-1) as { version: number }).version === VERSION_COUNT)
+    expect(receivedValues.length).to.be.lessThan(VERSION_COUNT / 2)
     watch.stop()
   })
 
-  it('lists again when the history is gone', async () => {
+  it('lists the objects again when the store has dropped the change history', async () => {
     const store = new MemoryStore()
     const watch = startWatch(store)
     store.replace('vms', 'a', {})
     await waitUntil(() => watch.names.has('a'))
-    store.drop('vms', 'a')
+    store.remove('vms', 'a')
     store.replace('vms', 'b', {})
-    store.dropHistory()
+    store.trimHistory()
     await waitUntil(() => watch.names.has('b') && !watch.names.has('a'))
     watch.stop()
   })
 
-  it('tells when the store is back, and knows then what changed meanwhile', async () => {
+  it('reports that the store has recovered, and applies what changed in the meantime', async () => {
     const store = new MemoryStore()
     const watch = startWatch(store)
     store.replace('vms', 'a', {})
     await waitUntil(() => watch.names.has('a'))
     store.isDown = true
-    store.dropHistory()
+    store.trimHistory()
     store.replace('vms', 'b', {})
     await new Promise(resolve => setTimeout(resolve, 60))
     expect(watch.names.has('b')).to.equal(false)
     store.isDown = false
     await waitUntil(() => watch.names.has('b'))
-    expect(watch.returns()).to.equal(1)
+    expect(watch.countRecoveries()).to.equal(1)
     watch.stop()
   })
 })
--- a/packages/gateway/src/testing/memory-store.ts
+++ b/packages/gateway/src/testing/memory-store.ts
@@ -1,91 +1,93 @@
 import { HistoryGoneError, MetadataError, MetadataStore, RevisionConflictError, type Change, type Changes, type Listing, type ObjectKind, type ObjectKinds, type OwnKind, type StoredObject } from '../metadata/metadata-store.ts'
 
-type AnyObject = StoredObject<unknown>
+type StoredValue = StoredObject<unknown>
 
-/** A metadata store in memory with the faults of a real one, for tests. */
+/** An in-memory metadata store for tests, which can simulate the failures of a real one. */
 export class MemoryStore extends MetadataStore {
   revision = 0
-  /** While set, every call fails. */
+  /** While set, every call rejects. */
   isDown = false
-  /** Writes take effect and their answers are lost. */
+  /** While set, writes take effect, but reject as if their response had been lost. */
   losesAnswers = false
-  readonly #objects = new Map<string, AnyObject>()
+  readonly #objects = new Map<string, StoredValue>()
   #history: Array<{ kind: ObjectKind, change: Change<unknown>, revision: number }> = []
-  #oldest = 0
-  #waiting: Array<() => void> = []
+  #oldestWatchableRevision = 0
+  #pendingWatches: Array<() => void> = []
 
+  /** Creates or replaces an object, as another program would. @returns the object's new revision */
   replace (kind: ObjectKind, name: string, value: unknown): number {
     const object = { name, revision: ++this.revision, value }
     this.#objects.set(`${kind}/${name}`, object)
-    this.#publish(kind, { object, isRemoved: false })
+    this.#publishChange(kind, { object, isRemoved: false })
     return object.revision
   }
 
-  drop (kind: ObjectKind, name: string): void {
+  /** Removes an object, as another program would; nothing happens if there is none. */
+  remove (kind: ObjectKind, name: string): void {
     const object = this.#objects.get(`${kind}/${name}`)
     if (object === undefined) return
     this.#objects.delete(`${kind}/${name}`)
     this.revision++
-    this.#publish(kind, { object, isRemoved: true })
+    this.#publishChange(kind, { object, isRemoved: true })
   }
 
-  /** Forgets all changes and cuts the watches. */
-  dropHistory (): void {
+  /** Discards the change history and ends the pending watches. */
+  trimHistory (): void {
     this.#history = []
-    this.#oldest = this.revision
-    this.#finishWaits()
+    this.#oldestWatchableRevision = this.revision
+    this.#finishPendingWatches()
   }
 
   override async list<K extends ObjectKind> (kind: K): Promise<Listing<ObjectKinds[K]>> {
-    this.#check()
+    this.#ensureAvailable()
     const items = [...this.#objects].filter(([key]) => key.startsWith(`${kind}/`)).map(([, o]) => o)
     return { items: items as Array<StoredObject<ObjectKinds[K]>>, asOf: this.revision }
   }
 
   override async watch<K extends ObjectKind> (kind: K, since: number, waitMs: number): Promise<Changes<ObjectKinds[K]>> {
-    this.#check()
-    if (since < this.#oldest) throw new HistoryGoneError('compacted')
-    const read = (): Change<unknown>[] => this.#history.filter(h => h.kind === kind && h.revision > since).map(h => h.change)
-    if (read().length === 0) {
+    this.#ensureAvailable()
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('the store no longer has the changes since that revision')
+    const listChanges = (): Change<unknown>[] => this.#history.filter(h => h.kind === kind && h.revision > since).map(h => h.change)
+    if (listChanges().length === 0) {
       await new Promise<void>(resolve => {
-        this.#waiting.push(resolve)
+        this.#pendingWatches.push(resolve)
         setTimeout(resolve, waitMs).unref()
       })
     }
-    this.#check()
-    if (since < this.#oldest) throw new HistoryGoneError('compacted')
-    return { changes: read() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
+    this.#ensureAvailable()
+    if (since < this.#oldestWatchableRevision) throw new HistoryGoneError('the store no longer has the changes since that revision')
+    return { changes: listChanges() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
   }
 
   override async find (kind: OwnKind, name: string): Promise<StoredObject<unknown> | undefined> {
-    this.#check()
+    this.#ensureAvailable()
     return this.#objects.get(`${kind}/${name}`)
   }
 
   override async write (kind: OwnKind, name: string, value: unknown, revision: number | null): Promise<number> {
-    this.#check()
-    if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('changed')
+    this.#ensureAvailable()
+    if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('the object has another revision')
     const written = this.replace(kind, name, value)
-    if (this.losesAnswers) throw new MetadataError('no answer')
+    if (this.losesAnswers) throw new MetadataError('the response to the write was lost')
     return written
   }
 
   override async delete (kind: OwnKind, name: string, revision: number): Promise<void> {
-    this.#check()
-    if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('changed')
-    this.drop(kind, name)
+    this.#ensureAvailable()
+    if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('the object has another revision')
+    this.remove(kind, name)
   }
 
-  #check (): void {
-    if (this.isDown) throw new MetadataError('down')
+  #ensureAvailable (): void {
+    if (this.isDown) throw new MetadataError('the metadata store is down')
   }
 
-  #publish (kind: ObjectKind, change: Change<unknown>): void {
+  #publishChange (kind: ObjectKind, change: Change<unknown>): void {
     this.#history.push({ kind, change, revision: this.revision })
-    this.#finishWaits()
+    this.#finishPendingWatches()
   }
 
-  #finishWaits (): void {
-    for (const resolve of this.#waiting.splice(0)) resolve()
+  #finishPendingWatches (): void {
+    for (const resolve of this.#pendingWatches.splice(0)) resolve()
   }
 }
