--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -3,52 +3,52 @@
 import type { LimitEffect } from './effects.ts'
 import type { VersionedOwners } from './messages.ts'
 import { stopCounting } from './ownership.ts'
-import { noOwners, type OwnershipState } from './ownership-state.ts'
-import { computeTargets, listByRendezvous, MAX_WITNESSES, parseShareIndex, pickWitnesses } from './shares.ts'
+import { emptyOwners, type OwnershipState } from './ownership-state.ts'
+import { computeTargetOwners, listByRendezvous, MAX_WITNESSES, parseShareIndex, pickWitnesses } from './shares.ts'
 
 /** A VM that has been missed this long loses its shares. */
-const MISSED_MS = 2_000
+const MISSING_TIMEOUT_MS = 2_000
 /** A VM that has just started does not yet know its peers; the first owners are not chosen before all are likely to be known. */
-const SETTLE_MS = 1_000
+const STARTUP_SETTLE_MS = 1_000
 /** The first owners wait for so long for VMs on the platform's list that have not joined: a single witness may be lost for good. */
-const FIRST_WAIT_MS = 5_000
+const INITIAL_JOIN_TIMEOUT_MS = 5_000
 /** The same for a VM that knows no other, as the list lags. */
-const LONE_WAIT_MS = 3_000
+const LONE_VM_JOIN_WAIT_MS = 3_000
 /** The next VM in line writes this much later, so that mostly one does. */
-const RANK_DELAY_MS = 400
+const WRITE_RANK_DELAY_MS = 400
 /** Shares move to new members only after no member has come or gone for this long. */
 const REBALANCE_DELAY_MS = 15_000
 /** A VM that has itself just started waits less: the whole fleet may be new, with one owner of everything. */
-const YOUNG_MS = 60_000
-const YOUNG_REBALANCE_DELAY_MS = 2_000
+const RECENT_START_MS = 60_000
+const RECENT_START_REBALANCE_DELAY_MS = 2_000
 /** Time between two batches of shares that one VM hands over while it goes on running. */
 const HANDOVER_INTERVAL_MS = 2_000
 const WRITE_RETRY_MS = 1_000
-const CONFLICT_SPREAD_MS = 200
+const CONFLICT_JITTER_MS = 200
 
 export type WriteResult = { outcome: 'written', owners: VersionedOwners } | { outcome: 'conflict' | 'unknown' | 'failed' }
 
 /** What the owners object lacks. */
-interface Work {
+interface AssignmentWork {
   /** The object does not exist. */
-  isFirst: boolean
+  isInitial: boolean
   /** Shares that this VM has stopped counting for good. */
-  releasable: string[]
+  releasableShares: string[]
   /** Shares of VMs that are gone. */
-  lost: string[]
+  lostShares: string[]
   hasWitnessChange: boolean
 }
 
 /** Takes in the members and notes who is missed. */
 export function handleMembers (state: OwnershipState, members: Member[], nowMs: number): void {
-  const before = formatPlaceable(state.members)
+  const placeableBefore = formatPlaceable(state.members)
   state.members = members
-  if (formatPlaceable(members) !== before) {
+  if (formatPlaceable(members) !== placeableBefore) {
     state.membersChangedAtMs = nowMs
     state.isBalanced = false
   }
   recordCandidates(state)
-  recordMissed(state, nowMs)
+  recordMissingVms(state, nowMs)
 }
 
 function recordCandidates (state: OwnershipState): void {
@@ -60,129 +60,129 @@
 }
 
 /** Notes since when VMs that own or witness something have been missed. */
-export function recordMissed (state: OwnershipState, nowMs: number): void {
-  const needed = new Set([...state.ownerVms, ...state.owners?.value.witnesses ?? []])
-  const present = new Set(state.members.filter(m => m.state !== 'dead').map(m => m.vm))
-  present.add(state.self.vm)
-  for (const vm of state.missedSince.keys()) if (!needed.has(vm) || present.has(vm)) state.missedSince.delete(vm)
-  for (const vm of needed) if (!present.has(vm) && !state.missedSince.has(vm)) state.missedSince.set(vm, nowMs)
+export function recordMissingVms (state: OwnershipState, nowMs: number): void {
+  const requiredVms = new Set([...state.ownerVms, ...state.owners?.value.witnesses ?? []])
+  const presentVms = new Set(state.members.filter(m => m.state !== 'dead').map(m => m.vm))
+  presentVms.add(state.self.vm)
+  for (const vm of state.missingSinceMs.keys()) if (!requiredVms.has(vm) || presentVms.has(vm)) state.missingSinceMs.delete(vm)
+  for (const vm of requiredVms) if (!presentVms.has(vm) && !state.missingSinceMs.has(vm)) state.missingSinceMs.set(vm, nowMs)
 }
 
 /** Writes a new version of the owners object when one is wanted, allowed and this VM's turn. */
 export function planAssignment (state: OwnershipState, nowMs: number): LimitEffect[] {
   const { owners } = state
   if (owners === null || state.needsRead || state.isWriting || state.candidates.length === 0) return []
-  if (state.isStopping) for (const h of state.held.values()) stopCounting(h, nowMs)
-  else startRebalancing(state, nowMs)
-  const work = findWork(state, nowMs)
+  if (state.isStopping) for (const localShare of state.localShares.values()) stopCounting(localShare, nowMs)
+  else stopCountingMisplacedShares(state, nowMs)
+  const work = findAssignmentWork(state, nowMs)
   if (work === null) {
-    state.wantedSinceMs = null
-    state.wantsWrite = false
+    state.writeNeededSinceMs = null
+    state.isWriteDue = false
     return []
   }
-  state.wantedSinceMs ??= nowMs
-  state.wantsWrite = nowMs >= computeWriteMs(state, work)
-  if (!state.wantsWrite || (owners.version > 0 && state.sealedVersion < owners.version)) return []
+  state.writeNeededSinceMs ??= nowMs
+  state.isWriteDue = nowMs >= computeNextWriteMs(state, work)
+  if (!state.isWriteDue || (owners.version > 0 && state.confirmedVersion < owners.version)) return []
   state.isWriting = true
   const value = createAssignment(state, owners.value, work)
-  const fields = { baseVersion: owners.version, released: work.releasable.length, lost: work.lost.length, witnesses: value.witnesses }
+  const fields = { baseVersion: owners.version, released: work.releasableShares.length, lost: work.lostShares.length, witnesses: value.witnesses }
   return [{ type: 'log', message: 'limit owners reassigned', fields }, { type: 'write-owners', version: owners.version, value }]
 }
 
-function findWork (state: OwnershipState, nowMs: number): Work | null {
-  const value = state.owners?.value ?? noOwners
-  const isFirst = state.owners?.version === 0
-  const releasable = listReleasable(state, nowMs)
-  const lostVms = [...state.missedSince.keys()].filter(vm => isLost(state, vm, nowMs))
+function findAssignmentWork (state: OwnershipState, nowMs: number): AssignmentWork | null {
+  const value = state.owners?.value ?? emptyOwners
+  const isInitial = state.owners?.version === 0
+  const releasableShares = listReleasable(state, nowMs)
+  const lostVms = [...state.missingSinceMs.keys()].filter(vm => isLost(state, vm, nowMs))
   const lost = lostVms.length === 0 ? [] : Object.keys(value.shares).filter(name => lostVms.includes(value.shares[name]!.vm))
-  const hasWitnessChange = value.witnesses.some(vm => lostVms.includes(vm)) || nowMs >= computeWitnessMs(state)
-  return isFirst || releasable.length > 0 || lost.length > 0 || hasWitnessChange ? { isFirst, releasable, lost, hasWitnessChange } : null
+  const hasWitnessChange = value.witnesses.some(vm => lostVms.includes(vm)) || nowMs >= computeWitnessChangeMs(state)
+  return isInitial || releasableShares.length > 0 || lost.length > 0 || hasWitnessChange ? { isInitial, releasableShares, lostShares: lost, hasWitnessChange } : null
 }
 
 /** Shares that this VM has stopped counting and whose tokens have all ended. */
 function listReleasable (state: OwnershipState, nowMs: number): string[] {
-  const names: string[] = []
-  for (const [name, { handover }] of state.held) if (handover !== null && handover.untilMs <= nowMs) names.push(name)
-  return names
+  const releasable: string[] = []
+  for (const [name, { handover }] of state.localShares) if (handover !== null && handover.grantsExpireAtMs <= nowMs) releasable.push(name)
+  return releasable
 }
 
 function isLost (state: OwnershipState, vm: string, nowMs: number): boolean {
-  return nowMs - (state.missedSince.get(vm) ?? Infinity) >= MISSED_MS
+  return nowMs - (state.missingSinceMs.get(vm) ?? Infinity) >= MISSING_TIMEOUT_MS
 }
 
 /** When there are witnesses to add, or this VM must leave them; infinite while there are enough. */
-function computeWitnessMs (state: OwnershipState): number {
-  const { witnesses } = state.owners?.value ?? noOwners
+function computeWitnessChangeMs (state: OwnershipState): number {
+  const { witnesses } = state.owners?.value ?? emptyOwners
   if (state.isStopping && witnesses.includes(state.self.vm)) return -Infinity
-  const wanted = Math.min(MAX_WITNESSES, state.candidates.length)
-  return witnesses.length < wanted ? state.membersChangedAtMs + computeSettleMs(state) : Infinity
+  const wantedCount = Math.min(MAX_WITNESSES, state.candidates.length)
+  return witnesses.length < wantedCount ? state.membersChangedAtMs + computeMembershipSettleMs(state) : Infinity
 }
 
 /** Handing over needs no turn; the rest is done by the first VM in line, then by the next. */
-function computeWriteMs (state: OwnershipState, work: Work): number {
-  if (work.releasable.length > 0) return state.retryAtMs
-  const line = listByRendezvous('assigner', state.candidates)
-  const rank = line.findIndex(m => m.vm === state.self.vm)
-  const turnMs = (rank < 0 ? line.length : rank) * RANK_DELAY_MS
-  const settledMs = (work.isFirst ? state.membersChangedAtMs : state.startedAtMs) + SETTLE_MS
-  const joinedMs = work.isFirst ? state.startedAtMs + computeJoinWaitMs(state) : -Infinity
-  return Math.max(state.retryAtMs, settledMs, joinedMs, (state.wantedSinceMs ?? 0) + turnMs)
+function computeNextWriteMs (state: OwnershipState, work: AssignmentWork): number {
+  if (work.releasableShares.length > 0) return state.retryAtMs
+  const writerOrder = listByRendezvous('assigner', state.candidates)
+  const rank = writerOrder.findIndex(m => m.vm === state.self.vm)
+  const turnDelayMs = (rank < 0 ? writerOrder.length : rank) * WRITE_RANK_DELAY_MS
+  const settledAtMs = (work.isInitial ? state.membersChangedAtMs : state.startedAtMs) + STARTUP_SETTLE_MS
+  const joinWaitEndsAtMs = work.isInitial ? state.startedAtMs + computeJoinWaitMs(state) : -Infinity
+  return Math.max(state.retryAtMs, settledAtMs, joinWaitEndsAtMs, (state.writeNeededSinceMs ?? 0) + turnDelayMs)
 }
 
 /** How long after its start a VM waits for others before it chooses the first owners. */
 function computeJoinWaitMs ({ listed, members }: OwnershipState): number {
-  const joined = new Set(members.map(m => m.vm))
-  const isMissing = listed === null || [...listed].some(vm => !joined.has(vm))
-  if (isMissing) return FIRST_WAIT_MS
-  return joined.size <= 1 ? LONE_WAIT_MS : 0
+  const joinedVms = new Set(members.map(m => m.vm))
+  const hasMissingVm = listed === null || [...listed].some(vm => !joinedVms.has(vm))
+  if (hasMissingVm) return INITIAL_JOIN_TIMEOUT_MS
+  return joinedVms.size <= 1 ? LONE_VM_JOIN_WAIT_MS : 0
 }
 
-function createAssignment (state: OwnershipState, before: LimitOwners, work: Work): LimitOwners {
+function createAssignment (state: OwnershipState, previousOwners: LimitOwners, work: AssignmentWork): LimitOwners {
   const { candidates } = state
-  const targets = computeTargets(candidates)
-  const shares = { ...before.shares }
-  for (const name of work.isFirst ? targets.keys() : [...work.releasable, ...work.lost]) {
+  const targets = computeTargetOwners(candidates)
+  const shares = { ...previousOwners.shares }
+  for (const name of work.isInitial ? targets.keys() : [...work.releasableShares, ...work.lostShares]) {
     const { vm, incarnation } = targets.get(name)!
-    const released = work.isFirst || state.held.get(name)?.handover?.wasReady === true
-    shares[name] = { vm, incarnation, epoch: (before.shares[name]?.epoch ?? 0) + 1, released }
+    const released = work.isInitial || state.localShares.get(name)?.handover?.wasReady === true
+    shares[name] = { vm, incarnation, epoch: (previousOwners.shares[name]?.epoch ?? 0) + 1, released }
   }
-  const witnesses = work.isFirst || work.hasWitnessChange ? pickWitnesses(before.witnesses, candidates) : before.witnesses
-  return { shares, witnesses, previousWitnesses: before.witnesses }
+  const witnesses = work.isInitial || work.hasWitnessChange ? pickWitnesses(previousOwners.witnesses, candidates) : previousOwners.witnesses
+  return { shares, witnesses, previousWitnesses: previousOwners.witnesses }
 }
 
 /** Stops counting shares that another member should own; of each workspace at most one at a time. */
-function startRebalancing (state: OwnershipState, nowMs: number): void {
-  if (nowMs < computeRebalanceMs(state)) return
-  state.rebalancedAtMs = nowMs
-  const targets = computeTargets(state.candidates)
-  const misplaced = [...state.held].filter(([name]) => targets.get(name)?.vm !== state.self.vm)
+function stopCountingMisplacedShares (state: OwnershipState, nowMs: number): void {
+  if (nowMs < computeNextRebalanceMs(state)) return
+  state.lastRebalanceAtMs = nowMs
+  const targets = computeTargetOwners(state.candidates)
+  const misplaced = [...state.localShares].filter(([name]) => targets.get(name)?.vm !== state.self.vm)
   state.isBalanced = misplaced.length === 0
   const index = Math.min(...misplaced.map(([name]) => parseShareIndex(name)))
-  for (const [name, held] of misplaced) {
-    if (parseShareIndex(name) === index) stopCounting(held, nowMs)
+  for (const [name, localShare] of misplaced) {
+    if (parseShareIndex(name) === index) stopCounting(localShare, nowMs)
   }
 }
 
-function computeRebalanceMs (state: OwnershipState): number {
-  if (state.held.size === 0 || state.isBalanced || state.candidates.length < 2) return Infinity
-  return Math.max(state.membersChangedAtMs + computeSettleMs(state), state.rebalancedAtMs + HANDOVER_INTERVAL_MS)
+function computeNextRebalanceMs (state: OwnershipState): number {
+  if (state.localShares.size === 0 || state.isBalanced || state.candidates.length < 2) return Infinity
+  return Math.max(state.membersChangedAtMs + computeMembershipSettleMs(state), state.lastRebalanceAtMs + HANDOVER_INTERVAL_MS)
 }
 
 /** How long the members must stay the same before shares or witnesses are changed for them. */
-function computeSettleMs (state: OwnershipState): number {
-  return state.membersChangedAtMs - state.startedAtMs < YOUNG_MS ? YOUNG_REBALANCE_DELAY_MS : REBALANCE_DELAY_MS
+function computeMembershipSettleMs (state: OwnershipState): number {
+  return state.membersChangedAtMs - state.startedAtMs < RECENT_START_MS ? RECENT_START_REBALANCE_DELAY_MS : REBALANCE_DELAY_MS
 }
 
 /** Begins a planned stop: every share is handed over. */
 export function startStopping (state: OwnershipState, nowMs: number): void {
   state.isStopping = true
   recordCandidates(state)
-  for (const held of state.held.values()) stopCounting(held, nowMs)
+  for (const localShare of state.localShares.values()) stopCounting(localShare, nowMs)
 }
 
 /** True when a stop need not wait any longer. */
 export function isStopped (state: OwnershipState): boolean {
-  return state.isStopping && (state.held.size === 0 || state.candidates.length === 0)
+  return state.isStopping && (state.localShares.size === 0 || state.candidates.length === 0)
 }
 
 /** Takes in what became of a write. A lost answer is looked up; until then the shares concerned stay stopped. */
@@ -191,21 +191,21 @@
   if (outcome === 'written') return
   if (outcome === 'failed') {
     state.retryAtMs = nowMs + WRITE_RETRY_MS
-    for (const h of state.held.values()) if (h.handover?.uncertainSince === null) h.handover = null
+    for (const h of state.localShares.values()) if (h.handover?.uncertainBaseVersion === null) h.handover = null
     return
   }
   state.needsRead = true
-  state.retryAtMs = nowMs + hashName(`${state.self.vm}/${nowMs}`) % CONFLICT_SPREAD_MS
-  for (const h of state.held.values()) if (h.handover !== null) h.handover.uncertainSince = state.owners?.version ?? 0
+  state.retryAtMs = nowMs + hashName(`${state.self.vm}/${nowMs}`) % CONFLICT_JITTER_MS
+  for (const h of state.localShares.values()) if (h.handover !== null) h.handover.uncertainBaseVersion = state.owners?.version ?? 0
 }
 
 /** When something may have to be written; infinite while all is in place. */
 export function computeAssignmentWakeMs (state: OwnershipState, nowMs: number): number {
   if (state.owners === null || state.needsRead || state.isWriting) return Infinity
-  const times = [computeRebalanceMs(state), computeWitnessMs(state)]
-  for (const ms of state.missedSince.values()) times.push(ms + MISSED_MS)
-  for (const h of state.held.values()) if (h.handover !== null) times.push(h.handover.untilMs)
-  const work = findWork(state, nowMs)
-  if (work !== null) times.push(computeWriteMs(state, work))
-  return Math.min(...times.map(ms => ms > nowMs ? ms : Infinity), work !== null && state.wantsWrite ? nowMs + WRITE_RETRY_MS : Infinity)
+  const times = [computeNextRebalanceMs(state), computeWitnessChangeMs(state)]
+  for (const ms of state.missingSinceMs.values()) times.push(ms + MISSING_TIMEOUT_MS)
+  for (const h of state.localShares.values()) if (h.handover !== null) times.push(h.handover.grantsExpireAtMs)
+  const work = findAssignmentWork(state, nowMs)
+  if (work !== null) times.push(computeNextWriteMs(state, work))
+  return Math.min(...times.map(ms => ms > nowMs ? ms : Infinity), work !== null && state.isWriteDue ? nowMs + WRITE_RETRY_MS : Infinity)
 }
--- a/packages/proxy/src/limits/decide-limits.ts
+++ b/packages/proxy/src/limits/decide-limits.ts
@@ -1,24 +1,24 @@
 import type { Rate, Step } from '@camphorpitch/wire'
 import type { Member } from '../membership/membership-view.ts'
 import {
-  computeAssignmentWakeMs, handleMembers, handleWriteResult, isStopped, planAssignment, recordMissed, startStopping, type WriteResult
+  computeAssignmentWakeMs, handleMembers, handleWriteResult, isStopped, planAssignment, recordMissingVms, startStopping, type WriteResult
 } from './assignment.ts'
-import type { LimitEffect, Self } from './effects.ts'
+import type { LimitEffect, VmProcess } from './effects.ts'
 import { createLedger, dropShare, handleDemand, type LedgerContext, type LedgerState } from './ledger.ts'
 import type { LimitMessage, VersionedOwners } from './messages.ts'
 import {
-  publishOwners, applyOwners, computeOwnershipWakeMs, findCountingSince, handleOwnersRead, handleProofReply, handleProofRequest, handleReadFailed, tickOwnership
+  publishOwners, applyOwners, computeOwnershipWakeMs, findCountingStartMs, handleOwnersRead, handleProofReply, handleProofRequest, handleOwnersReadFailed, tickOwnership
 } from './ownership.ts'
 import { createOwnership, type OwnershipState } from './ownership-state.ts'
 import { createWorkspaceLimit, type WorkspaceLimit } from './shares.ts'
 import { flushSpender, handleAdmit, handleGrants, tickSpender, type SpenderContext } from './spender.ts'
-import { createSpender, type SpenderState } from './spender-state.ts'
+import { createSpenderState, type SpenderState } from './spender-state.ts'
 
 /** Shortest time between two ticks that are not urgent. */
-const TICK_MS = 4
+const MIN_TICK_INTERVAL_MS = 4
 
 export interface LimitState {
-  self: Self
+  self: VmProcess
   limits: Map<string, WorkspaceLimit>
   context: LedgerContext & SpenderContext
   spender: SpenderState
@@ -31,7 +31,7 @@
 
 export type LimitInput =
   | { type: 'admit', requestId: number, workspace: string, timeoutMs: number }
-  | { type: 'peer', from: Self, body: LimitMessage }
+  | { type: 'peer', from: VmProcess, body: LimitMessage }
   /** `null` removes the workspace. */
   | { type: 'rate', workspace: string, rate: Rate | null }
   /** A version that configuration learned. */
@@ -45,14 +45,14 @@
   | { type: 'tick' }
   | { type: 'stop' }
 
-export function createLimitState (self: Self, nowMs: number): LimitState {
+export function createLimitState (self: VmProcess, nowMs: number): LimitState {
   const limits = new Map<string, WorkspaceLimit>()
   const ownership = createOwnership(self, nowMs)
   return {
     self,
     limits,
     context: createContext(limits, ownership),
-    spender: createSpender(self.incarnation),
+    spender: createSpenderState(self.incarnation),
     ledger: createLedger(),
     ownership,
     wakeAtMs: Infinity,
@@ -64,7 +64,7 @@
 function createContext (limits: LimitState['limits'], ownership: OwnershipState): LedgerContext & SpenderContext {
   return {
     findLimit: workspace => limits.get(workspace),
-    findCountingSince: (share, nowMs) => findCountingSince(ownership, share, nowMs),
+    findCountingStartMs: (share, nowMs) => findCountingStartMs(ownership, share, nowMs),
     findOwner: share => ownership.owners?.value.shares[share]?.vm
   }
 }
@@ -74,8 +74,8 @@
   const effects = applyInput(state, input, nowMs)
   if (hasOwnershipWork(state, input, nowMs)) effects.push(...decideOwnership(state, nowMs))
   effects.push(...flushSpender(state.spender, nowMs))
-  const dueMs = Math.min(state.ownershipWakeMs, state.spender.wakeAtMs)
-  const atMs = Math.max(dueMs, nowMs + TICK_MS)
+  const dueAtMs = Math.min(state.ownershipWakeMs, state.spender.wakeAtMs)
+  const atMs = Math.max(dueAtMs, nowMs + MIN_TICK_INTERVAL_MS)
   if (input.type === 'tick') state.wakeAtMs = Infinity
   if (atMs < state.wakeAtMs) {
     state.wakeAtMs = atMs
@@ -107,37 +107,37 @@
     case 'admit': return handleAdmit(state.spender, state.context, input, nowMs)
     case 'peer': return handlePeer(state, input.from, input.body, nowMs)
     case 'rate': return handleRate(state, input.workspace, input.rate, nowMs)
-    case 'owners': return applyTakenOwners(state, applyOwners(ownership, input.owners, nowMs), nowMs)
-    case 'owners-read': return applyTakenOwners(state, handleOwnersRead(ownership, input.owners, nowMs), nowMs)
-    case 'write-result': return handleWritten(state, input.result, nowMs)
+    case 'owners': return applyOwnersChange(state, applyOwners(ownership, input.owners, nowMs), nowMs)
+    case 'owners-read': return applyOwnersChange(state, handleOwnersRead(ownership, input.owners, nowMs), nowMs)
+    case 'write-result': return handleWriteInput(state, input.result, nowMs)
     case 'tick': return tickSpender(state.spender, state.context, nowMs)
-    default: return handleOther(ownership, input, nowMs)
+    default: return handleOwnershipInput(ownership, input, nowMs)
   }
 }
 
-function handleOther (ownership: OwnershipState, input: LimitInput, nowMs: number): LimitEffect[] {
+function handleOwnershipInput (ownership: OwnershipState, input: LimitInput, nowMs: number): LimitEffect[] {
   if (input.type === 'members') handleMembers(ownership, input.members, nowMs)
-  if (input.type === 'read-failed') handleReadFailed(ownership, nowMs)
+  if (input.type === 'read-failed') handleOwnersReadFailed(ownership, nowMs)
   if (input.type === 'listed') ownership.listed = new Set(input.vms)
   if (input.type === 'stop') startStopping(ownership, nowMs)
   return []
 }
 
-function handlePeer (state: LimitState, from: Self, body: LimitMessage, nowMs: number): LimitEffect[] {
+function handlePeer (state: LimitState, from: VmProcess, body: LimitMessage, nowMs: number): LimitEffect[] {
   const { ownership } = state
   switch (body.type) {
     case 'demand': {
-      const answer = handleDemand(state.ledger, state.context, from, state.self.incarnation, body, nowMs)
-      return answer === undefined ? [] : [{ type: 'send', vm: from.vm, body: answer }]
+      const grants = handleDemand(state.ledger, state.context, from, state.self.incarnation, body, nowMs)
+      return grants === undefined ? [] : [{ type: 'send', vm: from.vm, body: grants }]
     }
     case 'grants': return handleGrants(state.spender, state.context, from, body, nowMs)
     case 'proof-request': return handleProofRequest(ownership, from, body)
-    case 'owners-update': return applyTakenOwners(state, applyOwners(ownership, body.owners, nowMs), nowMs)
+    case 'owners-update': return applyOwnersChange(state, applyOwners(ownership, body.owners, nowMs), nowMs)
     case 'proof-reply': {
       if (body.incarnation !== state.self.incarnation) return []
-      const counted = handleProofReply(ownership, from.vm, body, nowMs)
-      if (body.newer === undefined) return counted
-      return [...counted, ...applyTakenOwners(state, applyOwners(ownership, body.newer, nowMs), nowMs)]
+      const effects = handleProofReply(ownership, from.vm, body, nowMs)
+      if (body.newer === undefined) return effects
+      return [...effects, ...applyOwnersChange(state, applyOwners(ownership, body.newer, nowMs), nowMs)]
     }
   }
 }
@@ -148,15 +148,15 @@
   return []
 }
 
-function handleWritten (state: LimitState, result: WriteResult, nowMs: number): LimitEffect[] {
+function handleWriteInput (state: LimitState, result: WriteResult, nowMs: number): LimitEffect[] {
   handleWriteResult(state.ownership, result.outcome, nowMs)
   if (result.outcome !== 'written') return []
-  const announced = publishOwners(state.ownership, result.owners)
-  return [...announced, ...applyTakenOwners(state, applyOwners(state.ownership, result.owners, nowMs), nowMs)]
+  const announcements = publishOwners(state.ownership, result.owners)
+  return [...announcements, ...applyOwnersChange(state, applyOwners(state.ownership, result.owners, nowMs), nowMs)]
 }
 
-function applyTakenOwners (state: LimitState, change: { lost: string[], effects: LimitEffect[] }, nowMs: number): LimitEffect[] {
+function applyOwnersChange (state: LimitState, change: { lost: string[], effects: LimitEffect[] }, nowMs: number): LimitEffect[] {
   for (const share of change.lost) dropShare(state.ledger, share)
-  recordMissed(state.ownership, nowMs)
+  recordMissingVms(state.ownership, nowMs)
   return change.effects
 }
--- a/packages/proxy/src/limits/effects.ts
+++ b/packages/proxy/src/limits/effects.ts
@@ -15,7 +15,7 @@
   | { type: 'stopped' }
 
 /** Who this process is to its peers. */
-export interface Self {
+export interface VmProcess {
   vm: string
   incarnation: number
 }
--- a/packages/proxy/src/limits/first-owners.test.ts
+++ b/packages/proxy/src/limits/first-owners.test.ts
@@ -10,7 +10,7 @@
 }
 
 /** A VM that has just started, alone as far as it knows, while the platform lists `listed`. */
-function createYoung (listed: string[]): OwnershipState {
+function createStartedVm (listed: string[]): OwnershipState {
   const state = createOwnership({ vm: 'vm-1', incarnation: 1 }, 0)
   handleOwnersRead(state, null, 0)
   handleMembers(state, [createMember('vm-1')], 0)
@@ -22,7 +22,7 @@
 const plan = (state: OwnershipState, nowMs: number): Array<LimitEffect['type']> => planAssignment(state, nowMs).map(e => e.type)
 
 /** The first write between two times; other VMs in line go first. */
-function findWrite (state: OwnershipState, fromMs: number, untilMs: number): LimitEffect | undefined {
+function findFirstWrite (state: OwnershipState, fromMs: number, untilMs: number): LimitEffect | undefined {
   for (let nowMs = fromMs; nowMs < untilMs; nowMs += 100) {
     const written = planAssignment(state, nowMs).find(e => e.type === 'write-owners')
     if (written !== undefined) return written
@@ -32,26 +32,26 @@
 
 describe('first owners of limits', () => {
   it('wait for VMs that are listed and have not joined, so that none is the only witness', () => {
-    const state = createYoung(['vm-1', 'vm-2', 'vm-3'])
+    const state = createStartedVm(['vm-1', 'vm-2', 'vm-3'])
     expect(plan(state, 1_500)).to.not.include('write-owners')
     handleMembers(state, ['vm-1', 'vm-2', 'vm-3'].map(createMember), 1_600)
-    expect(findWrite(state, 1_600, 5_000)).to.have.nested.property('value.witnesses').with.members(['vm-1', 'vm-2', 'vm-3'])
+    expect(findFirstWrite(state, 1_600, 5_000)).to.have.nested.property('value.witnesses').with.members(['vm-1', 'vm-2', 'vm-3'])
   })
 
   it('do not wait for ever for a VM that never joins', () => {
-    const state = createYoung(['vm-1', 'vm-2'])
+    const state = createStartedVm(['vm-1', 'vm-2'])
     expect(plan(state, 4_900)).to.not.include('write-owners')
     expect(plan(state, 5_100)).to.include('write-owners')
   })
 
   it('do not wait where all that are listed have joined', () => {
-    const state = createYoung(['vm-1', 'vm-2'])
+    const state = createStartedVm(['vm-1', 'vm-2'])
     handleMembers(state, ['vm-1', 'vm-2'].map(createMember), 100)
-    expect(findWrite(state, 100, 2_900)).to.not.equal(undefined)
+    expect(findFirstWrite(state, 100, 2_900)).to.not.equal(undefined)
   })
 
   it('wait a while for others that the list does not name yet', () => {
-    const state = createYoung(['vm-1'])
+    const state = createStartedVm(['vm-1'])
     expect(plan(state, 1_500)).to.not.include('write-owners')
     expect(plan(state, 3_100)).to.include('write-owners')
   })
--- a/packages/proxy/src/limits/ledger.ts
+++ b/packages/proxy/src/limits/ledger.ts
@@ -5,14 +5,14 @@
 /** How long a granted token may be used, from the moment its entry VM asked. */
 export const TOKEN_LIFETIME_MS = 250
 /** Allowance for clocks of different speed, over one lifetime or lease. */
-export const CLOCK_DRIFT = 0.01
+export const MAX_CLOCK_DRIFT_FRACTION = 0.01
 /** Time after a token's end in which its report may still arrive. */
 const REPORT_GRACE_MS = 300
 /** Part of the available tokens that may be granted ahead of need. */
-const PREFETCH_PART = 0.2
+const PREFETCH_FRACTION = 0.2
 const SWEEP_INTERVAL_MS = 1_000
 /** Until a share is counted here, callers ask again after this. */
-const NOT_COUNTING_RETRY_MS = 500
+const NOT_COUNTING_RETRY_AFTER_MS = 500
 
 interface OpenGrant {
   id: number
@@ -22,7 +22,7 @@
   left: number
   spent: number
   /** Real time after which no token of it can be spent. */
-  endsAtMs: number
+  expiresAtMs: number
 }
 
 interface Account {
@@ -37,19 +37,19 @@
   grants: Map<number, OpenGrant>
   nextGrantId: number
   /** Highest message number seen from each entry VM. */
-  seen: Map<string, { incarnation: number, seq: number }>
-  sweptAtMs: number
+  latestDemands: Map<string, { incarnation: number, seq: number }>
+  lastSweepAtMs: number
 }
 
 /** Facts about the share that the ledger takes from its surroundings. */
 export interface LedgerContext {
   findLimit: (workspace: string) => WorkspaceLimit | undefined
   /** When counting of the share began with an empty bucket; `undefined` while it is not counted here. */
-  findCountingSince: (share: string, nowMs: number) => number | undefined
+  findCountingStartMs: (share: string, nowMs: number) => number | undefined
 }
 
 export function createLedger (): LedgerState {
-  return { accounts: new Map(), grants: new Map(), nextGrantId: 1, seen: new Map(), sweptAtMs: 0 }
+  return { accounts: new Map(), grants: new Map(), nextGrantId: 1, latestDemands: new Map(), lastSweepAtMs: 0 }
 }
 
 /**
@@ -58,49 +58,49 @@
  * @returns `undefined` for a message that was already answered or came out of order
  */
 export function handleDemand (
-  state: LedgerState, context: LedgerContext, from: { vm: string, incarnation: number }, self: number, demand: Demand, nowMs: number
+  state: LedgerState, context: LedgerContext, from: { vm: string, incarnation: number }, localIncarnation: number, demand: Demand, nowMs: number
 ): Grants | undefined {
-  sweepLedger(state, context, nowMs)
-  if (demand.reportsFor === self) for (const r of demand.reports) applyReport(state, from.vm, r, nowMs)
-  const last = state.seen.get(from.vm)
-  const isOld = last !== undefined && (from.incarnation < last.incarnation || (from.incarnation === last.incarnation && demand.seq <= last.seq))
-  if (isOld) return undefined
-  state.seen.set(from.vm, { incarnation: from.incarnation, seq: demand.seq })
+  expireGrants(state, context, nowMs)
+  if (demand.reportsFor === localIncarnation) for (const report of demand.reports) applyReport(state, from.vm, report, nowMs)
+  const latest = state.latestDemands.get(from.vm)
+  const isStale = latest !== undefined && (from.incarnation < latest.incarnation || (from.incarnation === latest.incarnation && demand.seq <= latest.seq))
+  if (isStale) return undefined
+  state.latestDemands.set(from.vm, { incarnation: from.incarnation, seq: demand.seq })
   if (demand.items.length === 0) return undefined
-  const items = demand.items.map(i => grantTokens(state, context, from.vm, i, nowMs))
+  const items = demand.items.map(item => grantTokens(state, context, from.vm, item, nowMs))
   return { type: 'grants', seq: demand.seq, incarnation: from.incarnation, items }
 }
 
 function grantTokens (state: LedgerState, context: LedgerContext, vm: string, item: DemandItem, nowMs: number): Grant {
-  const account = findAccount(state, context, item, nowMs)
+  const account = findOrCreateAccount(state, context, item, nowMs)
   const { workspace, share } = item
   if (account === undefined) {
-    return { workspace, share, id: 0, tokens: 0, available: 0, retryAfterMs: NOT_COUNTING_RETRY_MS, counting: false }
+    return { workspace, share, id: 0, tokens: 0, available: 0, retryAfterMs: NOT_COUNTING_RETRY_AFTER_MS, counting: false }
   }
   const { bucket } = account
   const available = Math.max(0, countAvailable(bucket, nowMs))
   const needed = Math.min(item.need, available)
-  const tokens = needed + Math.min(item.extra, Math.floor((available - needed) * PREFETCH_PART))
+  const tokens = needed + Math.min(item.extra, Math.floor((available - needed) * PREFETCH_FRACTION))
   const id = tokens === 0 ? 0 : openGrant(state, account, vm, item, tokens, nowMs)
-  const left = Math.max(0, countAvailable(bucket, nowMs))
-  return { workspace, share, id, tokens, available: left, retryAfterMs: left > 0 ? 0 : computeRetryAfterMs(bucket, nowMs), counting: true }
+  const availableAfter = Math.max(0, countAvailable(bucket, nowMs))
+  return { workspace, share, id, tokens, available: availableAfter, retryAfterMs: availableAfter > 0 ? 0 : computeRetryAfterMs(bucket, nowMs), counting: true }
 }
 
 function openGrant (state: LedgerState, account: Account, vm: string, item: DemandItem, tokens: number, nowMs: number): number {
   const id = state.nextGrantId++
   reserveTokens(account.bucket, tokens)
-  const endsAtMs = computeGrantsEndMs(nowMs)
-  state.grants.set(id, { id, vm, account, left: tokens, spent: 0, endsAtMs })
+  const expiresAtMs = computeGrantExpiryMs(nowMs)
+  state.grants.set(id, { id, vm, account, left: tokens, spent: 0, expiresAtMs })
   return id
 }
 
 /** The account by which a share is counted now, with the rate that holds now. */
-function findAccount (state: LedgerState, context: LedgerContext, item: DemandItem, nowMs: number): Account | undefined {
+function findOrCreateAccount (state: LedgerState, context: LedgerContext, item: DemandItem, nowMs: number): Account | undefined {
   const limit = context.findLimit(item.workspace)
   const share = limit === undefined ? undefined : findShareRate(limit, item.share, nowMs)
   if (limit === undefined || share === undefined) return undefined
-  const since = context.findCountingSince(share.name, nowMs)
-  if (since === undefined) return undefined
+  const countingStartMs = context.findCountingStartMs(share.name, nowMs)
+  if (countingStartMs === undefined) return undefined
   const key = `${item.workspace}/${item.share}`
   const account = state.accounts.get(key)
   if (account !== undefined) {
@@ -108,7 +108,7 @@
     if (bucket.rate !== share.rate || bucket.burst !== share.burst) replaceRate(bucket, share.rate, share.burst, nowMs)
     return account
   }
-  const emptyAtMs = Math.max(since, limit.resplit?.untilMs ?? -Infinity)
+  const emptyAtMs = Math.max(countingStartMs, limit.shareCountChange?.untilMs ?? -Infinity)
   const created = { share: share.name, bucket: createBucket(share.rate, share.burst, Math.min(emptyAtMs, nowMs)) }
   state.accounts.set(key, created)
   return created
@@ -123,31 +123,31 @@
   if (spent > 0) {
     grant.spent += spent
     grant.left -= spent
-    spendReserved(bucket, spent, nowMs - report.ageMs * (1 - CLOCK_DRIFT))
+    spendReserved(bucket, spent, nowMs - report.ageMs * (1 - MAX_CLOCK_DRIFT_FRACTION))
   }
   if (!report.open) releaseReserved(bucket, grant.left)
   if (!report.open || grant.left === 0) state.grants.delete(grant.id)
 }
 
 /** Takes unreported tokens as spent at their end, and forgets buckets that equal fresh ones. */
-function sweepLedger (state: LedgerState, context: LedgerContext, nowMs: number): void {
+function expireGrants (state: LedgerState, context: LedgerContext, nowMs: number): void {
   for (const grant of state.grants.values()) {
-    if (grant.endsAtMs + REPORT_GRACE_MS > nowMs) break
+    if (grant.expiresAtMs + REPORT_GRACE_MS > nowMs) break
     state.grants.delete(grant.id)
-    spendReserved(grant.account.bucket, grant.left, grant.endsAtMs)
+    spendReserved(grant.account.bucket, grant.left, grant.expiresAtMs)
   }
-  if (nowMs - state.sweptAtMs < SWEEP_INTERVAL_MS) return
-  state.sweptAtMs = nowMs
+  if (nowMs - state.lastSweepAtMs < SWEEP_INTERVAL_MS) return
+  state.lastSweepAtMs = nowMs
   for (const [key, { share, bucket }] of state.accounts) {
-    const since = context.findCountingSince(share, nowMs)
-    if (since === undefined || !isFull(bucket, nowMs)) continue
-    if (since + bucket.burst / bucket.rate <= nowMs) state.accounts.delete(key)
+    const countingStartMs = context.findCountingStartMs(share, nowMs)
+    if (countingStartMs === undefined || !isFull(bucket, nowMs)) continue
+    if (countingStartMs + bucket.burst / bucket.rate <= nowMs) state.accounts.delete(key)
   }
 }
 
 /** When every token granted so far is surely spent or void. */
-export function computeGrantsEndMs (nowMs: number): number {
-  return nowMs + TOKEN_LIFETIME_MS * (1 + CLOCK_DRIFT)
+export function computeGrantExpiryMs (nowMs: number): number {
+  return nowMs + TOKEN_LIFETIME_MS * (1 + MAX_CLOCK_DRIFT_FRACTION)
 }
 
 /** Forgets the accounts of a share that another VM counts from now on. */
--- a/packages/proxy/src/limits/limits-fairness.test.ts
+++ b/packages/proxy/src/limits/limits-fairness.test.ts
@@ -7,9 +7,9 @@
 const WARM_UP_MS = 5_000
 const END_MS = 65_000
 /** Largest part of the requests within the rate that may be refused without faults. */
-const WRONGFUL_LIMIT = 0.001
-const LOAD = 0.8
-const ABUSE = 10
+const MAX_WRONGFUL_FRACTION = 0.001
+const LOAD_FRACTION = 0.8
+const ABUSER_LOAD_FRACTION = 10
 const rates: Record<string, Rate> = {
   'large-a': { statementsPerSecond: 200, burst: 200 },
   'large-b': { statementsPerSecond: 100, burst: 50 },
@@ -25,33 +25,33 @@
   const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
   fleet.queue.runUntil(WARM_UP_MS)
   for (const [workspace, { statementsPerSecond }] of Object.entries(rates)) {
-    const load = workspace === 'abuser' ? abuserLoad : LOAD
+    const load = workspace === 'abuser' ? abuserLoad : LOAD_FRACTION
     startMovingLoad(fleet, { workspace, requestsPerSecond: statementsPerSecond * load, endMs: END_MS })
   }
   fleet.queue.runUntil(END_MS + 1_000)
   return new Map(Object.entries(rates).map(([w, rate]) => [w, computeLoadResult(fleet.records, w, rate, WARM_UP_MS)]))
 }
 
-function sumWrongful (results: Iterable<LoadResult>): number {
+function computeWrongfulFraction (results: Iterable<LoadResult>): number {
   const list = [...results]
   return list.reduce((n, r) => n + r.wrongful, 0) / list.reduce((n, r) => n + r.within, 0)
 }
 
 describe('limits without faults', () => {
   it('hardly ever refuses a request within the rate while load moves between VMs', () => {
-    expect(sumWrongful(runLoad(7, LOAD).values())).to.be.below(WRONGFUL_LIMIT)
+    expect(computeWrongfulFraction(runLoad(7, LOAD_FRACTION).values())).to.be.below(MAX_WRONGFUL_FRACTION)
   })
 
   it('serves every other workspace as well while one sends ten times its rate', () => {
-    const results = runLoad(8, ABUSE)
+    const results = runLoad(8, ABUSER_LOAD_FRACTION)
     const abuser = results.get('abuser')!
     results.delete('abuser')
-    for (const [workspace, r] of results) expect(r.wrongful / r.within, workspace).to.be.below(WRONGFUL_LIMIT)
+    for (const [workspace, r] of results) expect(r.wrongful / r.within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
     expect(abuser.admitted / abuser.within).to.be.within(0.9, 1)
   })
 
   it('answers every request at once or after a few round trips', () => {
-    const longest = [...runLoad(9, ABUSE).values()].map(r => r.longestWaitMs)
+    const longest = [...runLoad(9, ABUSER_LOAD_FRACTION).values()].map(r => r.longestWaitMs)
     expect(Math.max(...longest)).to.be.at.most(100)
   })
 })
--- a/packages/proxy/src/limits/limits-liveness.test.ts
+++ b/packages/proxy/src/limits/limits-liveness.test.ts
@@ -1,13 +1,13 @@
 import type { Rate } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { findCountingSince } from './ownership.ts'
+import { findCountingStartMs } from './ownership.ts'
 import { VirtualFleet, type VirtualVm } from './virtual-fleet.ts'
 import { computeLoadResult, startMovingLoad } from './virtual-load.ts'
 
 const VM_COUNT = 9
 const SHARE_TOTAL = 192
 const WARM_UP_MS = 5_000
-const WRONGFUL_LIMIT = 0.001
+const MAX_WRONGFUL_FRACTION = 0.001
 const rates: Record<string, Rate> = {
   large: { statementsPerSecond: 100, burst: 100 },
   small: { statementsPerSecond: 5, burst: 10 }
@@ -25,25 +25,25 @@
   }
 }
 
-function countCounting (fleet: VirtualFleet): number {
+function countCountedShares (fleet: VirtualFleet): number {
   const count = (vm: VirtualVm): number => {
     if (vm.state === null) return 0
     const { ownership } = vm.state
     const nowMs = fleet.readClock(vm)
-    return [...ownership.held.keys()].filter(name => findCountingSince(ownership, name, nowMs) !== undefined).length
+    return [...ownership.localShares.keys()].filter(name => findCountingStartMs(ownership, name, nowMs) !== undefined).length
   }
   return fleet.vms.reduce((sum, vm) => sum + count(vm), 0)
 }
 
-function checkServed (fleet: VirtualFleet, workspace: string, fromMs: number): void {
+function checkWrongfulRefusals (fleet: VirtualFleet, workspace: string, fromMs: number): void {
   const { wrongful, within } = computeLoadResult(fleet.records, workspace, rates[workspace]!, fromMs)
   expect(within).to.be.above(0)
-  expect(wrongful / within, workspace).to.be.below(WRONGFUL_LIMIT)
+  expect(wrongful / within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
 }
 
 describe('limits owners', () => {
   it('count every share soon after the first start', () => {
-    expect(countCounting(startFleet(1))).to.equal(SHARE_TOTAL)
+    expect(countCountedShares(startFleet(1))).to.equal(SHARE_TOTAL)
   })
 
   it('go on through an outage of the object service, a restart included', () => {
@@ -51,11 +51,11 @@
     fleet.service = 'down'
     startLoads(fleet, 0.6, 60_000)
     fleet.queue.runUntil(40_000)
-    checkServed(fleet, 'large', WARM_UP_MS)
-    checkServed(fleet, 'small', WARM_UP_MS)
+    checkWrongfulRefusals(fleet, 'large', WARM_UP_MS)
+    checkWrongfulRefusals(fleet, 'small', WARM_UP_MS)
     fleet.startVm(fleet.vms[3]!)
     fleet.queue.runUntil(60_000)
-    expect(countCounting(fleet)).to.equal(SHARE_TOTAL)
+    expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
   })
 
   it('are replaced after a crash, while the other shares serve', () => {
@@ -63,28 +63,28 @@
     startLoads(fleet, 0.5, 40_000)
     fleet.queue.schedule(8_000, () => fleet.killVm(fleet.vms[2]!))
     fleet.queue.runUntil(40_000)
-    expect(countCounting(fleet)).to.equal(SHARE_TOTAL)
-    checkServed(fleet, 'large', WARM_UP_MS)
+    expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
+    checkWrongfulRefusals(fleet, 'large', WARM_UP_MS)
   })
 
   it('hand over at a planned stop without refusing anything', () => {
     const fleet = startFleet(4)
     startLoads(fleet, 0.5, 30_000)
     const leaving = fleet.vms[5]!
-    fleet.queue.schedule(8_000, () => fleet.tell(leaving, { type: 'stop' }))
+    fleet.queue.schedule(8_000, () => fleet.deliver(leaving, { type: 'stop' }))
     fleet.queue.runUntil(10_000)
-    expect(leaving.state!.ownership.held.size).to.equal(0)
-    expect(countCounting(fleet)).to.equal(SHARE_TOTAL)
+    expect(leaving.state!.ownership.localShares.size).to.equal(0)
+    expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
     fleet.queue.runUntil(30_000)
-    checkServed(fleet, 'large', WARM_UP_MS)
+    checkWrongfulRefusals(fleet, 'large', WARM_UP_MS)
   })
 
   it('spread to VMs that join', () => {
     const fleet = startFleet(5)
     fleet.addVm('vm-joined')
     fleet.queue.runUntil(60_000)
-    expect(fleet.vms.at(-1)!.state!.ownership.held.size).to.be.above(0)
-    expect(countCounting(fleet)).to.equal(SHARE_TOTAL)
+    expect(fleet.vms.at(-1)!.state!.ownership.localShares.size).to.be.above(0)
+    expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
   })
 
   it('are found anew when every VM is replaced at once', () => {
@@ -93,6 +93,6 @@
     fleet.vms.length = 0
     for (let i = 0; i < VM_COUNT; i++) fleet.addVm(`replacement-${i}`)
     fleet.queue.runUntil(30_000)
-    expect(countCounting(fleet)).to.equal(SHARE_TOTAL)
+    expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
   })
 })
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -15,7 +15,7 @@
 const LAST_FAULT_MS = 4_000
 const END_MS = 16_000
 /** Clocks run this much too fast or too slow, so the bound may be exceeded by this part of the rate. */
-const CLOCK_DRIFT = 0.004
+const CLOCK_DRIFT_FRACTION = 0.004
 const rates: Record<string, Rate> = {
   large: { statementsPerSecond: 20, burst: 24 },
   small: { statementsPerSecond: 2, burst: 1 }
@@ -41,20 +41,20 @@
 const scenarioArbitrary = fc.record({ seed: fc.integer(), faults: fc.array(faultArbitrary, { minLength: 1, maxLength: 3 }) })
 type Scenario = typeof scenarioArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-function setCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
+function setNetworkCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
   fleet.groups.set(vm.vm, isCut ? 1 : 0)
-  fleet.tellMembers()
+  fleet.publishMembers()
 }
 
 function setServiceCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
-  if (isCut) fleet.cutFromService.add(vm.vm)
-  else fleet.cutFromService.delete(vm.vm)
+  if (isCut) fleet.disconnectedFromService.add(vm.vm)
+  else fleet.disconnectedFromService.delete(vm.vm)
 }
 
 function setSuspected (fleet: VirtualFleet, vm: VirtualVm, isSuspected: boolean): void {
   if (isSuspected) fleet.suspected.add(vm.vm)
   else fleet.suspected.delete(vm.vm)
-  fleet.tellMembers()
+  fleet.publishMembers()
 }
 
 type FaultKind = typeof faultKinds[number]
@@ -83,22 +83,22 @@
     return doNothing
   },
   stop: (fleet, vm) => {
-    fleet.tell(vm, { type: 'stop' })
+    fleet.deliver(vm, { type: 'stop' })
     return () => fleet.killVm(vm)
   },
   cut: (fleet, vm) => {
-    setCut(fleet, vm, true)
-    return () => setCut(fleet, vm, false)
+    setNetworkCut(fleet, vm, true)
+    return () => setNetworkCut(fleet, vm, false)
   },
   'cut-from-service': (fleet, vm) => {
     setServiceCut(fleet, vm, true)
     return () => setServiceCut(fleet, vm, false)
   },
   'cut-from-all': (fleet, vm) => {
-    setCut(fleet, vm, true)
+    setNetworkCut(fleet, vm, true)
     setServiceCut(fleet, vm, true)
     return () => {
-      setCut(fleet, vm, false)
+      setNetworkCut(fleet, vm, false)
       setServiceCut(fleet, vm, false)
     }
   },
@@ -129,20 +129,20 @@
 }
 
 /** Every VM asks for far more than the rate, in clumps, so that each token is taken as soon as it can be. */
-function startCallers (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
-  const ask = (): void => {
+function startClients (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
+  const sendBatch = (): void => {
     const vm = fleet.vms[Math.floor(fleet.random() * fleet.vms.length)]!
-    const clump = fleet.random() < 0.1 ? 8 : 1
-    for (let i = 0; i < clump; i++) fleet.admit(vm, workspace)
-    fleet.queue.schedule(fleet.queue.nowMs - Math.log(1 - fleet.random()) * meanGapMs, ask)
+    const batchSize = fleet.random() < 0.1 ? 8 : 1
+    for (let i = 0; i < batchSize; i++) fleet.admit(vm, workspace)
+    fleet.queue.schedule(fleet.queue.nowMs - Math.log(1 - fleet.random()) * meanGapMs, sendBatch)
   }
-  ask()
+  sendBatch()
 }
 
 function runScenario ({ seed, faults }: Scenario, decide: LimitDecide): VirtualFleet {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT })
-  startCallers(fleet, 'large', 40)
-  startCallers(fleet, 'small', 250)
+  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT_FRACTION })
+  startClients(fleet, 'large', 40)
+  startClients(fleet, 'small', 250)
   for (const fault of faults) {
     fleet.queue.schedule(fault.atMs, () => {
       const end = faultActions[fault.kind](fleet, fleet.vms[fault.vm]!, fault)
@@ -160,7 +160,7 @@
   let largest = -Infinity
   for (let i = 0; i < times.length; i++) {
     for (let j = i; j < times.length; j++) {
-      const allowed = statementsPerSecond / 1000 * (1 + CLOCK_DRIFT) * (times[j]! - times[i]!) + burst
+      const allowed = statementsPerSecond / 1000 * (1 + CLOCK_DRIFT_FRACTION) * (times[j]! - times[i]!) + burst
       largest = Math.max(largest, j - i + 1 - allowed)
     }
   }
@@ -182,13 +182,13 @@
 const decideEqualSplit: LimitDecide = (state, input, nowMs) => {
   if (input.type !== 'admit') return { state, effects: [] }
   const rate = rates[input.workspace]!
-  const tokens = state as unknown as { naive?: Map<string, { level: number, atMs: number }> }
-  tokens.naive ??= new Map()
-  const bucket = tokens.naive.get(input.workspace) ?? { level: rate.burst / VM_COUNT, atMs: nowMs }
+  const stateWithBuckets = state as unknown as { buckets?: Map<string, { level: number, atMs: number }> }
+  stateWithBuckets.buckets ??= new Map()
+  const bucket = stateWithBuckets.buckets.get(input.workspace) ?? { level: rate.burst / VM_COUNT, atMs: nowMs }
   const refilled = bucket.level + (nowMs - bucket.atMs) * rate.statementsPerSecond / 1000 / VM_COUNT
   const level = Math.min(Math.max(1, rate.burst / VM_COUNT), refilled)
   const admitted = level >= 1
-  tokens.naive.set(input.workspace, { level: admitted ? level - 1 : level, atMs: nowMs })
+  stateWithBuckets.buckets.set(input.workspace, { level: admitted ? level - 1 : level, atMs: nowMs })
   const admission = admitted ? { admitted } as const : { admitted, retryAfterMs: 1, reason: 'rate' } as const
   return { state, effects: [{ type: 'resolve', requestId: input.requestId, admission }] }
 }
@@ -203,7 +203,7 @@
 /** A new owner counts at once, whatever the old one still does. */
 const decideWithoutTakeoverWait: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
-  for (const h of step.state.ownership.held.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
+  for (const h of step.state.ownership.localShares.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
   return step
 }
 
@@ -216,7 +216,7 @@
 
 const CHANGE_RUNS = 300
 /** Time in which a configuration reaches every VM. */
-const SPREAD_MS = 6_000
+const PROPAGATION_MS = 6_000
 const rateArbitrary: fc.Arbitrary<Rate> = fc.record({
   statementsPerSecond: fc.constantFrom(1, 5, 20, 40),
   burst: fc.constantFrom(1, 7, 10, 23, 24, 40)
@@ -233,8 +233,8 @@
   for (const vm of fleet.vms) {
     let atMs = 0
     for (const { atMs: changedAtMs, rate } of ordered) {
-      atMs = Math.max(atMs, changedAtMs + fleet.random() * SPREAD_MS)
-      fleet.queue.schedule(atMs, () => fleet.tell(vm, { type: 'rate', workspace: 'large', rate }))
+      atMs = Math.max(atMs, changedAtMs + fleet.random() * PROPAGATION_MS)
+      fleet.queue.schedule(atMs, () => fleet.deliver(vm, { type: 'rate', workspace: 'large', rate }))
     }
   }
 }
@@ -242,7 +242,7 @@
 /** While a change is under way, the larger rate and burst bound what is admitted. */
 function findChangeExcess (seed: number, changes: readonly Change[]): number {
   const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
-  startCallers(fleet, 'large', 30)
+  startClients(fleet, 'large', 30)
   scheduleChanges(fleet, changes)
   fleet.queue.runUntil(25_000)
   const all = [rates.large!, ...changes.map(c => c.rate)]
@@ -262,13 +262,13 @@
     fc.assert(fc.property(scenarioArbitrary, scenario => checkBound(scenario, decideLimits)), { seed: SEED, numRuns: RUNS })
   })
 
-  const naive: Array<[string, LimitDecide]> = [
+  const unsafeVariants: Array<[string, LimitDecide]> = [
     ['an equal split that refills at a restart', decideEqualSplit],
     ['grants without expiry', decideWithoutExpiry],
     ['takeover without a wait', decideWithoutTakeoverWait],
     ['owners without a lease', decideWithoutLease]
   ]
-  for (const [name, decide] of naive) {
+  for (const [name, decide] of unsafeVariants) {
     it(`sees the excess of ${name}`, () => {
       expect(checkProperty(decide).failed).to.equal(true)
     })
--- a/packages/proxy/src/limits/shares.ts
+++ b/packages/proxy/src/limits/shares.ts
@@ -4,12 +4,12 @@
 /** Groups of workspaces whose shares move together. */
 export const PARTITION_COUNT = 64
 /** Shares of a workspace's rate, counted by different VMs. */
-export const SHARE_COUNT = 3
+export const SHARES_PER_PARTITION = 3
 /** Smallest burst of a share; workspaces with less than `SHARE_COUNT` times this have one share. */
 const MIN_SHARE_BURST = 8
 export const MAX_WITNESSES = 9
 /** Time after which every owner counts by a new division. */
-const RESPLIT_DELAY_MS = 10_000
+const SHARE_COUNT_CHANGE_DELAY_MS = 10_000
 
 /** One share's part of a workspace's rate. */
 export interface ShareRate {
@@ -24,7 +24,7 @@
 export interface WorkspaceLimit {
   shares: ShareRate[]
   /** Set when the number of shares changed: until then, no share may exceed what it was before. */
-  resplit: { previous: ShareRate[], untilMs: number } | null
+  shareCountChange: { previous: ShareRate[], untilMs: number } | null
 }
 
 /** @example formatShare(7, 2) // 'p7-2' */
@@ -42,28 +42,28 @@
 }
 
 /** Divides a rate into shares whose sums are the whole. */
-export function createWorkspaceLimit (workspace: string, rate: Rate, before: WorkspaceLimit | undefined, nowMs: number): WorkspaceLimit {
+export function createWorkspaceLimit (workspace: string, rate: Rate, previousLimit: WorkspaceLimit | undefined, nowMs: number): WorkspaceLimit {
   const partition = computePartition(workspace)
-  const count = rate.burst >= SHARE_COUNT * MIN_SHARE_BURST ? SHARE_COUNT : 1
-  const whole = Math.floor(rate.burst / count)
-  const rest = rate.burst - whole * count
+  const count = rate.burst >= SHARES_PER_PARTITION * MIN_SHARE_BURST ? SHARES_PER_PARTITION : 1
+  const baseBurst = Math.floor(rate.burst / count)
+  const remainder = rate.burst - baseBurst * count
   const shares = Array.from({ length: count }, (_, i) => ({
     name: formatShare(partition, i),
     rate: rate.statementsPerSecond / 1000 / count,
-    burst: whole + (i < rest ? 1 : 0)
+    burst: baseBurst + (i < remainder ? 1 : 0)
   }))
-  if (before === undefined || before.shares.length === count) return { shares, resplit: before?.resplit ?? null }
-  const previous = before.shares.map((_, i) => findShareRate(before, i, nowMs)).filter(s => s !== undefined)
-  return { shares, resplit: { previous, untilMs: nowMs + RESPLIT_DELAY_MS } }
+  if (previousLimit === undefined || previousLimit.shares.length === count) return { shares, shareCountChange: previousLimit?.shareCountChange ?? null }
+  const previous = previousLimit.shares.map((_, i) => findShareRate(previousLimit, i, nowMs)).filter(s => s !== undefined)
+  return { shares, shareCountChange: { previous, untilMs: nowMs + SHARE_COUNT_CHANGE_DELAY_MS } }
 }
 
 /** What a share may count now; `undefined` for a share that does not exist, or not yet. */
-export function findShareRate ({ shares, resplit }: WorkspaceLimit, index: number, nowMs: number): ShareRate | undefined {
+export function findShareRate ({ shares, shareCountChange: resplit }: WorkspaceLimit, index: number, nowMs: number): ShareRate | undefined {
   const share = shares[index]
   if (share === undefined || resplit === null || nowMs >= resplit.untilMs) return share
-  const previous = resplit.previous[index]
-  if (previous === undefined) return undefined
-  return { ...share, rate: Math.min(share.rate, previous.rate), burst: Math.min(share.burst, previous.burst) }
+  const previousShare = resplit.previous[index]
+  if (previousShare === undefined) return undefined
+  return { ...share, rate: Math.min(share.rate, previousShare.rate), burst: Math.min(share.burst, previousShare.burst) }
 }
 
 /** The members in rendezvous order, the best for `key` first. */
@@ -75,66 +75,66 @@
 }
 
 /** Picks up to `count` members in rendezvous order, failure domains not yet used first. */
-export function pickSpread (key: string, members: readonly Member[], count: number): Member[] {
-  const left = listByRendezvous(key, members)
-  const uses = new Map<string, number>()
+export function pickAcrossDomains (key: string, members: readonly Member[], count: number): Member[] {
+  const remaining = listByRendezvous(key, members)
+  const picksByDomain = new Map<string, number>()
   const picked: Member[] = []
-  while (picked.length < count && left.length > 0) {
-    const next = findLeastUsed(left, uses)
-    const [member] = left.splice(next, 1)
-    uses.set(member!.failureDomain, (uses.get(member!.failureDomain) ?? 0) + 1)
+  while (picked.length < count && remaining.length > 0) {
+    const nextIndex = findIndexInLeastPickedDomain(remaining, picksByDomain)
+    const [member] = remaining.splice(nextIndex, 1)
+    picksByDomain.set(member!.failureDomain, (picksByDomain.get(member!.failureDomain) ?? 0) + 1)
     picked.push(member!)
   }
   return picked
 }
 
-function findLeastUsed (members: readonly Member[], uses: ReadonlyMap<string, number>): number {
-  let best = 0
-  let fewest = Infinity
-  for (let i = 0; i < members.length && fewest > 0; i++) {
-    const count = uses.get(members[i]!.failureDomain) ?? 0
-    if (count >= fewest) continue
-    best = i
-    fewest = count
+function findIndexInLeastPickedDomain (members: readonly Member[], picksByDomain: ReadonlyMap<string, number>): number {
+  let bestIndex = 0
+  let fewestPicks = Infinity
+  for (let i = 0; i < members.length && fewestPicks > 0; i++) {
+    const count = picksByDomain.get(members[i]!.failureDomain) ?? 0
+    if (count >= fewestPicks) continue
+    bestIndex = i
+    fewestPicks = count
   }
-  return best
+  return bestIndex
 }
 
 /** The best few members of each failure domain; a choice among them equals one among all. */
-function listFinalists (keyHash: number, domains: ReadonlyArray<readonly Member[]>): Member[] {
-  const finalists: Member[] = []
+function listTopMembersPerDomain (keyHash: number, domains: ReadonlyArray<readonly Member[]>): Member[] {
+  const topMembers: Member[] = []
   for (const members of domains) {
     const best: Array<{ member: Member, score: number }> = []
     for (const member of members) {
       const score = hashPair(keyHash, hashName(member.vm))
-      if (best.length === SHARE_COUNT && score < best[SHARE_COUNT - 1]!.score) continue
+      if (best.length === SHARES_PER_PARTITION && score < best[SHARES_PER_PARTITION - 1]!.score) continue
       best.push({ member, score })
       best.sort((a, b) => b.score - a.score)
-      best.length = Math.min(best.length, SHARE_COUNT)
+      best.length = Math.min(best.length, SHARES_PER_PARTITION)
     }
-    for (const { member } of best) finalists.push(member)
+    for (const { member } of best) topMembers.push(member)
   }
-  return finalists
+  return topMembers
 }
 
 /** The member that should own each share; fewer members than shares own several. */
-export function computeTargets (members: readonly Member[]): Map<string, Member> {
+export function computeTargetOwners (members: readonly Member[]): Map<string, Member> {
   const targets = new Map<string, Member>()
   const domains = new Map<string, Member[]>()
-  for (const m of members) domains.set(m.failureDomain, [...domains.get(m.failureDomain) ?? [], m])
+  for (const member of members) domains.set(member.failureDomain, [...domains.get(member.failureDomain) ?? [], member])
   for (let partition = 0; partition < PARTITION_COUNT; partition++) {
     const key = `partition-${partition}`
-    const owners = pickSpread(key, listFinalists(hashName(key), [...domains.values()]), SHARE_COUNT)
+    const owners = pickAcrossDomains(key, listTopMembersPerDomain(hashName(key), [...domains.values()]), SHARES_PER_PARTITION)
     if (owners.length === 0) return targets
-    for (let i = 0; i < SHARE_COUNT; i++) targets.set(formatShare(partition, i), owners[i % owners.length]!)
+    for (let i = 0; i < SHARES_PER_PARTITION; i++) targets.set(formatShare(partition, i), owners[i % owners.length]!)
   }
   return targets
 }
 
 /** Keeps the witnesses that are still members and fills up. */
-export function pickWitnesses (current: readonly string[], members: readonly Member[]): string[] {
-  const kept = current.filter(vm => members.some(m => m.vm === vm))
-  const candidates = pickSpread('witness', members, members.length).filter(m => !kept.includes(m.vm))
+export function pickWitnesses (currentWitnesses: readonly string[], members: readonly Member[]): string[] {
+  const kept = currentWitnesses.filter(vm => members.some(m => m.vm === vm))
+  const candidates = pickAcrossDomains('witness', members, members.length).filter(m => !kept.includes(m.vm))
   const added = candidates.slice(0, Math.max(0, MAX_WITNESSES - kept.length)).map(m => m.vm)
   return [...kept, ...added]
 }
--- a/packages/proxy/src/limits/spender-state.ts
+++ b/packages/proxy/src/limits/spender-state.ts
@@ -14,7 +14,7 @@
 }
 
 /** What this VM believes of one share. */
-export interface ShareView {
+export interface ShareEstimate {
   rate: ShareRate
   available: number
   asOfMs: number
@@ -25,22 +25,22 @@
   blockedOwner: string | undefined
 }
 
-export interface Waiter {
+export interface WaitingRequest {
   requestId: number
   deadlineMs: number
 }
 
-export interface WorkspaceSpending {
+export interface WorkspaceState {
   workspace: string
   limit: WorkspaceLimit
-  shares: ShareView[]
+  shares: ShareEstimate[]
   /** Earliest expiry first. */
   grants: HeldGrant[]
-  waiting: Waiter[]
-  extraInFlight: number
+  waiting: WaitingRequest[]
+  prefetchInFlight: number
   /** Decaying average of arrivals, in requests per millisecond. */
   demandPerMs: number
-  arrivedAtMs: number
+  lastArrivalAtMs: number
 }
 
 export interface PendingDemand {
@@ -55,57 +55,57 @@
 export interface OwnerLink {
   owner: string
   incarnation: number
-  flushedAtMs: number
+  lastFlushAtMs: number
   items: DemandItem[]
   /** Grants whose report is out of date, by grant. */
   unreported: Map<number, HeldGrant>
-  reportDueMs: number
+  reportDueAtMs: number
 }
 
 export interface SpenderState {
   incarnation: number
-  workspaces: Map<string, WorkspaceSpending>
+  workspaces: Map<string, WorkspaceState>
   /** Workspaces with grants or waiting requests. */
-  active: Set<WorkspaceSpending>
+  activeWorkspaces: Set<WorkspaceState>
   links: Map<string, OwnerLink>
   /** Links with something to send. */
-  dirty: Set<OwnerLink>
+  linksToFlush: Set<OwnerLink>
   pending: Map<number, PendingDemand>
   nextSeq: number
-  sweptAtMs: number
+  lastSweepAtMs: number
   /** No later than the next time at which something is due. */
   wakeAtMs: number
 }
 
-export function createSpender (incarnation: number): SpenderState {
-  return { incarnation, workspaces: new Map(), active: new Set(), links: new Map(), dirty: new Set(), pending: new Map(), nextSeq: 1, sweptAtMs: 0, wakeAtMs: Infinity }
+export function createSpenderState (incarnation: number): SpenderState {
+  return { incarnation, workspaces: new Map(), activeWorkspaces: new Set(), links: new Map(), linksToFlush: new Set(), pending: new Map(), nextSeq: 1, lastSweepAtMs: 0, wakeAtMs: Infinity }
 }
 
-export function findLink (state: SpenderState, owner: string): OwnerLink {
+export function findOrCreateLink (state: SpenderState, owner: string): OwnerLink {
   const existing = state.links.get(owner)
   if (existing !== undefined) return existing
-  const link: OwnerLink = { owner, incarnation: 0, flushedAtMs: -Infinity, items: [], unreported: new Map(), reportDueMs: Infinity }
+  const link: OwnerLink = { owner, incarnation: 0, lastFlushAtMs: -Infinity, items: [], unreported: new Map(), reportDueAtMs: Infinity }
   state.links.set(owner, link)
   return link
 }
 
-function createShareView (rate: ShareRate, nowMs: number): ShareView {
+function createShareEstimate (rate: ShareRate, nowMs: number): ShareEstimate {
   return { rate, available: rate.burst, asOfMs: nowMs, inFlight: 0, blockedUntilMs: -Infinity, blockedOwner: undefined }
 }
 
 /** The workspace's state, with its shares as the contract divides them now. */
-export function findSpending (state: SpenderState, workspace: string, limit: WorkspaceLimit, nowMs: number): WorkspaceSpending {
+export function findOrCreateWorkspaceState (state: SpenderState, workspace: string, limit: WorkspaceLimit, nowMs: number): WorkspaceState {
   const existing = state.workspaces.get(workspace)
   if (existing?.limit === limit) return existing
   if (existing === undefined) {
-    const shares = limit.shares.map(r => createShareView(r, nowMs))
-    const created = { workspace, limit, shares, grants: [], waiting: [], extraInFlight: 0, demandPerMs: 0, arrivedAtMs: nowMs }
-    state.workspaces.set(workspace, created)
-    return created
+    const shares = limit.shares.map(r => createShareEstimate(r, nowMs))
+    const workspaceState = { workspace, limit, shares, grants: [], waiting: [], prefetchInFlight: 0, demandPerMs: 0, lastArrivalAtMs: nowMs }
+    state.workspaces.set(workspace, workspaceState)
+    return workspaceState
   }
   existing.limit = limit
   existing.shares = limit.shares.map((r, i) => {
-    const share = existing.shares[i] ?? createShareView(r, nowMs)
+    const share = existing.shares[i] ?? createShareEstimate(r, nowMs)
     share.rate = r
     return share
   })
@@ -113,10 +113,10 @@
 }
 
 /** Makes sure that a tick comes by then. */
-export function requestWake (state: SpenderState, atMs: number): void {
+export function scheduleTick (state: SpenderState, atMs: number): void {
   if (atMs < state.wakeAtMs) state.wakeAtMs = atMs
 }
 
-export function countInFlight (spending: WorkspaceSpending): number {
-  return spending.shares.reduce((sum, s) => sum + s.inFlight, 0)
+export function countInFlight (workspaceState: WorkspaceState): number {
+  return workspaceState.shares.reduce((sum, share) => sum + share.inFlight, 0)
 }
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -5,7 +5,7 @@
 import { ConfigurationView } from '../configuration/configuration-view.ts'
 import { MembershipView, type Member } from '../membership/membership-view.ts'
 import type { Admission } from './limiter.ts'
-import { findCountingSince } from './ownership.ts'
+import { findCountingStartMs } from './ownership.ts'
 import { startLimiter, type RunningLimiter } from './start-limiter.ts'
 
 const VM_COUNT = 3
@@ -74,17 +74,17 @@
   }
 }
 
-function countCounting (vms: readonly TestVm[], clock: MonotonicClock): number {
+function countCountedShares (vms: readonly TestVm[], clock: MonotonicClock): number {
   const nowMs = clock.readNow()
   const count = ({ limiter }: TestVm): number => {
     const { ownership } = limiter.readState()
-    return [...ownership.held.keys()].filter(name => findCountingSince(ownership, name, nowMs) !== undefined).length
+    return [...ownership.localShares.keys()].filter(name => findCountingStartMs(ownership, name, nowMs) !== undefined).length
   }
   return vms.reduce((sum, vm) => sum + count(vm), 0)
 }
 
 /** Asks again whenever it is told to. */
-async function waitAdmitted (limiter: RunningLimiter): Promise<void> {
+async function waitUntilAdmitted (limiter: RunningLimiter): Promise<void> {
   for (;;) {
     const admission = await limiter.admit(contract.workspace, 1_000)
     if (admission.admitted) return
@@ -105,12 +105,12 @@
     const vms: TestVm[] = []
     for (let i = 0; i < VM_COUNT; i++) vms.push(await startVm(i, membership, platform, logger))
     for (const listener of membership.listeners) listener()
-    await waitUntil(() => countCounting(vms, clock) === SHARE_TOTAL)
+    await waitUntil(() => countCountedShares(vms, clock) === SHARE_TOTAL)
 
-    await waitAdmitted(vms[0]!.limiter)
+    await waitUntilAdmitted(vms[0]!.limiter)
     const startedMs = clock.readNow()
-    const asked = Array.from({ length: 240 }, async (_, i) => await vms[i % VM_COUNT]!.limiter.admit(contract.workspace, 1_000))
-    const admissions: Admission[] = await Promise.all(asked)
+    const requests = Array.from({ length: 240 }, async (_, i) => await vms[i % VM_COUNT]!.limiter.admit(contract.workspace, 1_000))
+    const admissions: Admission[] = await Promise.all(requests)
     const elapsedMs = clock.readNow() - startedMs
     const admitted = admissions.filter(a => a.admitted).length
     expect(admitted).to.be.at.most(contract.rate.burst + contract.rate.statementsPerSecond * elapsedMs / 1000)
@@ -118,7 +118,7 @@
     expect(await vms[0]!.limiter.admit('unknown', 1_000)).to.include({ admitted: false, reason: 'no contract' })
 
     await vms[0]!.limiter.stop()
-    await waitUntil(() => countCounting(vms.slice(1), clock) === SHARE_TOTAL)
+    await waitUntil(() => countCountedShares(vms.slice(1), clock) === SHARE_TOTAL)
     for (const vm of vms) await vm.shut()
     await platform.close()
   })
--- a/packages/proxy/src/limits/start-limiter.ts
+++ b/packages/proxy/src/limits/start-limiter.ts
@@ -4,7 +4,7 @@
 import type { MembershipView } from '../membership/membership-view.ts'
 import type { WriteResult } from './assignment.ts'
 import { createLimitState, decideLimits, type LimitInput, type LimitState } from './decide-limits.ts'
-import type { LimitEffect, Self } from './effects.ts'
+import type { LimitEffect, VmProcess } from './effects.ts'
 import { Limiter, type Admission } from './limiter.ts'
 import { limitMessageSchema, type VersionedOwners } from './messages.ts'
 
@@ -45,7 +45,7 @@
 
 class FleetLimiter extends RunningLimiter {
   readonly #options: LimiterOptions
-  readonly #self: Self
+  readonly #self: VmProcess
   readonly #actor: SliceActor<LimitState, LimitInput>
   readonly #requests = new Map<number, (admission: Admission) => void>()
   #nextRequestId = 1
@@ -104,30 +104,30 @@
       const message = limitMessageSchema.safeParse(body)
       if (message.success) this.#actor.tell({ type: 'peer', from: { vm: from.vm, incarnation: from.incarnation }, body: message.data })
     })
-    const tellMembers = (): void => this.#actor.tell({ type: 'members', members: [...membership.listMembers()] })
-    membership.subscribe(tellMembers)
-    tellMembers()
+    const sendMembers = (): void => this.#actor.tell({ type: 'members', members: [...membership.listMembers()] })
+    membership.subscribe(sendMembers)
+    sendMembers()
     configuration.subscribe((kind, name) => {
-      if (kind === 'contract') this.#tellRate(name)
-      if (kind === OWNERS_KIND) this.#tellOwners()
+      if (kind === 'contract') this.#sendRate(name)
+      if (kind === OWNERS_KIND) this.#sendOwners()
     })
-    for (const { workspace } of configuration.listContracts()) this.#tellRate(workspace)
-    this.#tellOwners()
+    for (const { workspace } of configuration.listContracts()) this.#sendRate(workspace)
+    this.#sendOwners()
   }
 
-  #tellRate (workspace: string): void {
+  #sendRate (workspace: string): void {
     const rate = this.#options.configuration.findContract(workspace)?.rate ?? null
     this.#actor.tell({ type: 'rate', workspace, rate })
   }
 
-  #tellOwners (): void {
+  #sendOwners (): void {
     const owners = this.#options.configuration.findLimitOwners()
     if (owners !== undefined) this.#actor.tell({ type: 'owners', owners })
   }
 
   #runEffect (effect: LimitEffect): void {
     switch (effect.type) {
-      case 'resolve': return this.#answer(effect.requestId, effect.admission)
+      case 'resolve': return this.#resolveRequest(effect.requestId, effect.admission)
       case 'send': return this.#send(effect.vm, effect)
       case 'wake': return this.#scheduleWake(effect.atMs)
       case 'read-owners': this.#readOwners().catch(this.#logUnexpected)
@@ -146,7 +146,7 @@
     this.#options.logger.error('limits effect failed', { error: String(error) })
   }
 
-  #answer (requestId: number, admission: Admission): void {
+  #resolveRequest (requestId: number, admission: Admission): void {
     const resolve = this.#requests.get(requestId)
     this.#requests.delete(requestId)
     this.#options.logger.debug('limit decided', { requestId, ...admission })
--- a/packages/proxy/src/limits/virtual-fleet.ts
+++ b/packages/proxy/src/limits/virtual-fleet.ts
@@ -4,7 +4,7 @@
 import type { LimitEffect } from './effects.ts'
 import type { Admission } from './limiter.ts'
 
-interface Event {
+interface ScheduledEvent {
   atMs: number
   order: number
   run: () => void
@@ -12,7 +12,7 @@
 
 /** Binary heap of events under a virtual clock. */
 class EventQueue {
-  readonly #heap: Event[] = []
+  readonly #heap: ScheduledEvent[] = []
   #order = 0
   nowMs = 0
 
@@ -21,7 +21,7 @@
     heap.push({ atMs: Math.max(atMs, this.nowMs), order: this.#order++, run })
     let i = heap.length - 1
     while (i > 0 && isBefore(heap[i]!, heap[(i - 1) >> 1]!)) {
-      replaceEvents(heap, i, (i - 1) >> 1)
+      exchangeEvents(heap, i, (i - 1) >> 1)
       i = (i - 1) >> 1
     }
   }
@@ -35,7 +35,7 @@
     this.nowMs = endMs
   }
 
-  #removeFirst (): Event {
+  #removeFirst (): ScheduledEvent {
     const heap = this.#heap
     const first = heap[0]!
     const last = heap.pop()!
@@ -49,20 +49,20 @@
       if (left < heap.length && isBefore(heap[left]!, heap[least]!)) least = left
       if (right < heap.length && isBefore(heap[right]!, heap[least]!)) least = right
       if (least === i) return first
-      replaceEvents(heap, i, least)
+      exchangeEvents(heap, i, least)
       i = least
     }
   }
 }
 
-function isBefore (a: Event, b: Event): boolean {
+function isBefore (a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order)
 }
 
-function replaceEvents (heap: Event[], i: number, j: number): void {
-  const kept = heap[i]!
+function exchangeEvents (heap: ScheduledEvent[], i: number, j: number): void {
+  const first = heap[i]!
   heap[i] = heap[j]!
-  heap[j] = kept
+  heap[j] = first
 }
 
 /** Faults of the links between VMs. */
@@ -85,9 +85,9 @@
   /** Milliseconds of this VM's clock in a millisecond of virtual time. */
   clockSpeed: number
   state: LimitState | null
-  wakeOrder: number
+  scheduledTickId: number
   pausedUntilMs: number
-  held: LimitInput[]
+  pendingInputs: LimitInput[]
 }
 
 export interface AdmissionRecord {
@@ -95,7 +95,7 @@
   vm: string
   workspace: string
   admission: Admission
-  askedAtMs: number
+  requestedAtMs: number
 }
 
 export interface VirtualFleetOptions {
@@ -112,9 +112,9 @@
 
 const DOMAIN_COUNT = 3
 const SERVICE_LATENCY_MS = 3
-const SLOW_SERVICE_MS = 1_500
-const DETECTION_MS = 700
-const PASS_ON_MS = 50
+const MAX_SLOW_SERVICE_DELAY_MS = 1_500
+const FAILURE_DETECTION_MS = 700
+const OWNERS_FORWARD_DELAY_MS = 50
 
 /** Small fakes of peers, membership and object service around the limits decision, under a virtual clock. */
 export class VirtualFleet {
@@ -126,7 +126,7 @@
   service: ServiceMode = 'up'
   /** Groups of VMs that do not reach each other; no entry means group 0. */
   readonly groups = new Map<string, number>()
-  readonly cutFromService = new Set<string>()
+  readonly disconnectedFromService = new Set<string>()
   /** VMs that the others wrongly take for dead. */
   readonly suspected = new Set<string>()
   owners: { version: number, value: LimitOwners } | null = null
@@ -148,9 +148,9 @@
       clockOffsetMs: Math.floor(this.random() * 1_000_000),
       clockSpeed: 1 + (this.random() * 2 - 1) * (this.#options.clockDrift ?? 0),
       state: null,
-      wakeOrder: 0,
+      scheduledTickId: 0,
       pausedUntilMs: 0,
-      held: []
+      pendingInputs: []
     }
     this.vms.push(added)
     this.startVm(added)
@@ -161,37 +161,37 @@
   startVm (vm: VirtualVm): void {
     vm.incarnation += 1
     vm.state = createLimitState({ vm: vm.vm, incarnation: vm.incarnation }, this.readClock(vm))
-    vm.held = []
+    vm.pendingInputs = []
     vm.pausedUntilMs = 0
-    for (const [workspace, rate] of Object.entries(this.#options.rates)) this.tell(vm, { type: 'rate', workspace, rate })
-    this.tell(vm, { type: 'tick' })
-    this.tellMembers()
+    for (const [workspace, rate] of Object.entries(this.#options.rates)) this.deliver(vm, { type: 'rate', workspace, rate })
+    this.deliver(vm, { type: 'tick' })
+    this.publishMembers()
     this.#forwardOwners(vm)
   }
 
   /** Configuration brings a new process what its peers know, also while the service is down. */
   #forwardOwners (vm: VirtualVm): void {
     const { incarnation } = vm
-    this.queue.schedule(this.queue.nowMs + PASS_ON_MS, () => {
+    this.queue.schedule(this.queue.nowMs + OWNERS_FORWARD_DELAY_MS, () => {
       const peer = this.vms.find(v => v !== vm && v.state?.ownership.owners != null && this.#isLinked(v, vm))
       const owners = peer?.state?.ownership.owners
-      if (owners != null && owners.version > 0 && vm.incarnation === incarnation) this.tell(vm, { type: 'owners', owners })
+      if (owners != null && owners.version > 0 && vm.incarnation === incarnation) this.deliver(vm, { type: 'owners', owners })
     })
   }
 
   killVm (vm: VirtualVm): void {
     vm.state = null
-    this.tellMembers()
+    this.publishMembers()
   }
 
   pauseVm (vm: VirtualVm, durationMs: number): void {
     vm.pausedUntilMs = this.queue.nowMs + durationMs
     this.queue.schedule(vm.pausedUntilMs, () => {
-      const held = vm.held.splice(0)
-      for (const input of held) this.tell(vm, input)
-      this.tellMembers()
+      const inputs = vm.pendingInputs.splice(0)
+      for (const input of inputs) this.deliver(vm, input)
+      this.publishMembers()
     })
-    this.tellMembers()
+    this.publishMembers()
   }
 
   /** Asks for admission at the VM, now. */
@@ -199,31 +199,31 @@
     const requestId = this.#nextRequestId++
     if (vm.state === null) return
     this.#requests.set(`${vm.vm}/${requestId}`, { vm: vm.vm, workspace, askedAtMs: this.queue.nowMs, resolve })
-    this.tell(vm, { type: 'admit', requestId, workspace, timeoutMs: 10_000 })
+    this.deliver(vm, { type: 'admit', requestId, workspace, timeoutMs: 10_000 })
   }
 
   /** Delivers an input, or keeps it for the end of the VM's pause. */
-  tell (vm: VirtualVm, input: LimitInput): void {
+  deliver (vm: VirtualVm, input: LimitInput): void {
     if (vm.state === null) return
-    if (this.queue.nowMs < vm.pausedUntilMs) vm.held.push(input)
+    if (this.queue.nowMs < vm.pausedUntilMs) vm.pendingInputs.push(input)
     else this.#decide(vm, input)
   }
 
   /** Tells every VM whom it sees, after the time that detection takes. */
-  tellMembers (): void {
-    this.queue.schedule(this.queue.nowMs + DETECTION_MS, () => {
-      for (const vm of this.vms) this.tell(vm, { type: 'members', members: this.#listMembers(vm) })
+  publishMembers (): void {
+    this.queue.schedule(this.queue.nowMs + FAILURE_DETECTION_MS, () => {
+      for (const vm of this.vms) this.deliver(vm, { type: 'members', members: this.#listMembers(vm) })
     })
   }
 
   #listMembers (viewer: VirtualVm): Member[] {
-    const seen = this.vms.filter(v => v === viewer || this.#isSeen(v, viewer))
-    return seen.map(({ vm, failureDomain, incarnation }) => (
+    const visible = this.vms.filter(v => v === viewer || this.#isVisible(v, viewer))
+    return visible.map(({ vm, failureDomain, incarnation }) => (
       { vm, host: '127.0.0.1', peerPort: 1, failureDomain, region: 'default', incarnation, state: 'live' }
     ))
   }
 
-  #isSeen (vm: VirtualVm, viewer: VirtualVm): boolean {
+  #isVisible (vm: VirtualVm, viewer: VirtualVm): boolean {
     const isRunning = vm.state !== null && this.queue.nowMs >= vm.pausedUntilMs
     return isRunning && this.#isLinked(vm, viewer) && !this.suspected.has(vm.vm)
   }
@@ -260,14 +260,14 @@
     const request = this.#requests.get(key)
     if (request === undefined) return
     this.#requests.delete(key)
-    this.records.push({ atMs: this.queue.nowMs, vm: vm.vm, workspace: request.workspace, admission, askedAtMs: request.askedAtMs })
+    this.records.push({ atMs: this.queue.nowMs, vm: vm.vm, workspace: request.workspace, admission, requestedAtMs: request.askedAtMs })
     request.resolve?.(admission)
   }
 
   #scheduleWake (vm: VirtualVm, atMs: number): void {
-    const order = ++vm.wakeOrder
+    const order = ++vm.scheduledTickId
     this.queue.schedule((atMs - vm.clockOffsetMs) / vm.clockSpeed, () => {
-      if (vm.wakeOrder === order) this.tell(vm, { type: 'tick' })
+      if (vm.scheduledTickId === order) this.deliver(vm, { type: 'tick' })
     })
   }
 
@@ -276,15 +276,15 @@
     if (to === undefined) return
     const input: LimitInput = { type: 'peer', from: { vm: from.vm, incarnation: from.incarnation }, body: effect.body }
     if (to === from) {
-      this.queue.schedule(this.queue.nowMs, () => this.tell(to, input))
+      this.queue.schedule(this.queue.nowMs, () => this.deliver(to, input))
       return
     }
     this.#options.handleSend?.(from.vm, to.vm, effect)
-    const copies = this.random() < this.links.duplication ? 2 : 1
-    for (let i = 0; i < copies; i++) {
+    const copyCount = this.random() < this.links.duplication ? 2 : 1
+    for (let i = 0; i < copyCount; i++) {
       if (!this.#isLinked(from, to) || this.random() < this.links.loss) continue
       const latencyMs = this.#computeLatencyMs(from, to) + this.random() ** 3 * this.links.extraDelayMs
-      this.queue.schedule(this.queue.nowMs + latencyMs, () => this.tell(to, input))
+      this.queue.schedule(this.queue.nowMs + latencyMs, () => this.deliver(to, input))
     }
   }
 
@@ -295,15 +295,15 @@
 
   /** Runs `call` at the service and brings its answer back; the answer may be lost after the effect. */
   #requestService (vm: VirtualVm, call: () => LimitInput, failure: LimitInput | null): void {
-    const slowMs = this.service === 'slow' ? this.random() * SLOW_SERVICE_MS : 0
+    const slowMs = this.service === 'slow' ? this.random() * MAX_SLOW_SERVICE_DELAY_MS : 0
     const { incarnation } = vm
-    const tellLater = (input: LimitInput | null): void => this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + slowMs, () => {
-      if (input !== null && vm.incarnation === incarnation) this.tell(vm, input)
+    const deliverLater = (input: LimitInput | null): void => this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + slowMs, () => {
+      if (input !== null && vm.incarnation === incarnation) this.deliver(vm, input)
     })
     this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + slowMs, () => {
-      if (this.service === 'down' || this.cutFromService.has(vm.vm)) return tellLater(failure)
-      const answer = call()
-      tellLater(this.service === 'answers-lost' && this.random() < 0.7 ? failure : answer)
+      if (this.service === 'down' || this.disconnectedFromService.has(vm.vm)) return deliverLater(failure)
+      const response = call()
+      deliverLater(this.service === 'answers-lost' && this.random() < 0.7 ? failure : response)
     })
   }
 
@@ -321,8 +321,8 @@
   #publishOwners (): void {
     const owners = this.owners!
     for (const vm of this.vms) {
-      if (this.cutFromService.has(vm.vm)) continue
-      this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + this.random() * 300, () => this.tell(vm, { type: 'owners', owners }))
+      if (this.disconnectedFromService.has(vm.vm)) continue
+      this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + this.random() * 300, () => this.deliver(vm, { type: 'owners', owners }))
     }
   }
 }
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -1,7 +1,7 @@
 import { countAvailable, createBucket, type Rate, reserveTokens, spendReserved } from '@camphorpitch/wire'
 import type { AdmissionRecord, VirtualFleet, VirtualVm } from './virtual-fleet.ts'
 
-const MOVE_INTERVAL_MS = 2_000
+const BUSY_VM_CHANGE_INTERVAL_MS = 2_000
 
 export interface LoadOptions {
   workspace: string
@@ -12,14 +12,14 @@
 /** Poisson arrivals, most of them at one VM, which changes every few seconds; the rest anywhere. */
 export function startMovingLoad (fleet: VirtualFleet, { workspace, requestsPerSecond, endMs }: LoadOptions): void {
   const { queue, vms, random } = fleet
-  let favourite = vms[0]!
-  let movesAtMs = -Infinity
+  let busyVm = vms[0]!
+  let nextMoveAtMs = -Infinity
   function pickVm (): VirtualVm {
-    if (queue.nowMs >= movesAtMs) {
-      movesAtMs = queue.nowMs + MOVE_INTERVAL_MS
-      favourite = vms[Math.floor(random() * vms.length)]!
+    if (queue.nowMs >= nextMoveAtMs) {
+      nextMoveAtMs = queue.nowMs + BUSY_VM_CHANGE_INTERVAL_MS
+      busyVm = vms[Math.floor(random() * vms.length)]!
     }
-    return random() < 0.6 ? favourite : vms[Math.floor(random() * vms.length)]!
+    return random() < 0.6 ? busyVm : vms[Math.floor(random() * vms.length)]!
   }
   function scheduleNext (): void {
     const atMs = queue.nowMs - Math.log(1 - random()) * 1000 / requestsPerSecond
@@ -45,11 +45,11 @@
 
 /** Compares a workspace's admissions with those of one exact bucket, which is full at `startMs`. */
 export function computeLoadResult (records: readonly AdmissionRecord[], workspace: string, rate: Rate, startMs: number): LoadResult {
-  const own = records.filter(r => r.workspace === workspace && r.askedAtMs >= startMs).sort((a, b) => a.askedAtMs - b.askedAtMs)
+  const own = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
   const perMs = rate.statementsPerSecond / 1000
   const bucket = createBucket(perMs, rate.burst, startMs - rate.burst / perMs)
   const result = { requests: own.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
-  for (const { askedAtMs, atMs, admission } of own) {
+  for (const { requestedAtMs: askedAtMs, atMs, admission } of own) {
     const isWithin = countAvailable(bucket, askedAtMs) >= 1
     if (isWithin) {
       reserveTokens(bucket, 1)
