--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -92,15 +92,15 @@
 function findAssignmentWork (state: OwnershipState, nowMs: number): AssignmentWork | null {
   const value = state.owners?.value ?? emptyOwners
   const isInitial = state.owners?.version === 0
-  const releasableShares = listReleasable(state, nowMs)
+  const releasableShares = listReleasableShares(state, nowMs)
   const lostVms = [...state.missingSinceMs.keys()].filter(vm => isLost(state, vm, nowMs))
-  const lost = lostVms.length === 0 ? [] : Object.keys(value.shares).filter(name => lostVms.includes(value.shares[name]!.vm))
+  const lostShares = lostVms.length === 0 ? [] : Object.keys(value.shares).filter(name => lostVms.includes(value.shares[name]!.vm))
   const hasWitnessChange = value.witnesses.some(vm => lostVms.includes(vm)) || nowMs >= computeWitnessChangeMs(state)
-  return isInitial || releasableShares.length > 0 || lost.length > 0 || hasWitnessChange ? { isInitial, releasableShares, lostShares: lost, hasWitnessChange } : null
+  return isInitial || releasableShares.length > 0 || lostShares.length > 0 || hasWitnessChange ? { isInitial, releasableShares, lostShares, hasWitnessChange } : null
 }
 
 /** Shares that this VM has stopped counting and whose tokens have all ended. */
-function listReleasable (state: OwnershipState, nowMs: number): string[] {
+function listReleasableShares (state: OwnershipState, nowMs: number): string[] {
   const releasable: string[] = []
   for (const [name, { handover }] of state.localShares) if (handover !== null && handover.grantsExpireAtMs <= nowMs) releasable.push(name)
   return releasable
@@ -204,7 +204,7 @@
   if (state.owners === null || state.needsRead || state.isWriting) return Infinity
   const times = [computeNextRebalanceMs(state), computeWitnessChangeMs(state)]
   for (const ms of state.missingSinceMs.values()) times.push(ms + MISSING_TIMEOUT_MS)
-  for (const h of state.localShares.values()) if (h.handover !== null) times.push(h.handover.grantsExpireAtMs)
+  for (const localShare of state.localShares.values()) if (localShare.handover !== null) times.push(localShare.handover.grantsExpireAtMs)
   const work = findAssignmentWork(state, nowMs)
   if (work !== null) times.push(computeNextWriteMs(state, work))
   return Math.min(...times.map(ms => ms > nowMs ? ms : Infinity), work !== null && state.isWriteDue ? nowMs + WRITE_RETRY_MS : Infinity)
--- a/packages/proxy/src/limits/first-owners.test.ts
+++ b/packages/proxy/src/limits/first-owners.test.ts
@@ -19,7 +19,7 @@
   return state
 }
 
-const plan = (state: OwnershipState, nowMs: number): Array<LimitEffect['type']> => planAssignment(state, nowMs).map(e => e.type)
+const planEffectTypes = (state: OwnershipState, nowMs: number): Array<LimitEffect['type']> => planAssignment(state, nowMs).map(e => e.type)
 
 /** The first write between two times; other VMs in line go first. */
 function findFirstWrite (state: OwnershipState, fromMs: number, untilMs: number): LimitEffect | undefined {
@@ -33,15 +33,15 @@
 describe('first owners of limits', () => {
   it('wait for VMs that are listed and have not joined, so that none is the only witness', () => {
     const state = createStartedVm(['vm-1', 'vm-2', 'vm-3'])
-    expect(plan(state, 1_500)).to.not.include('write-owners')
+    expect(planEffectTypes(state, 1_500)).to.not.include('write-owners')
     handleMembers(state, ['vm-1', 'vm-2', 'vm-3'].map(createMember), 1_600)
     expect(findFirstWrite(state, 1_600, 5_000)).to.have.nested.property('value.witnesses').with.members(['vm-1', 'vm-2', 'vm-3'])
   })
 
   it('do not wait for ever for a VM that never joins', () => {
     const state = createStartedVm(['vm-1', 'vm-2'])
-    expect(plan(state, 4_900)).to.not.include('write-owners')
-    expect(plan(state, 5_100)).to.include('write-owners')
+    expect(planEffectTypes(state, 4_900)).to.not.include('write-owners')
+    expect(planEffectTypes(state, 5_100)).to.include('write-owners')
   })
 
   it('do not wait where all that are listed have joined', () => {
@@ -52,7 +52,7 @@
 
   it('wait a while for others that the list does not name yet', () => {
     const state = createStartedVm(['vm-1'])
-    expect(plan(state, 1_500)).to.not.include('write-owners')
-    expect(plan(state, 3_100)).to.include('write-owners')
+    expect(planEffectTypes(state, 1_500)).to.not.include('write-owners')
+    expect(planEffectTypes(state, 3_100)).to.include('write-owners')
   })
 })
--- a/packages/proxy/src/limits/ownership.ts
+++ b/packages/proxy/src/limits/ownership.ts
@@ -91,7 +91,7 @@
 
 function isConfirmationNeeded (state: OwnershipState): boolean {
   if (state.owners === null || state.confirmedVersion >= state.owners.version) return false
-  return state.isWriteDue || [...state.localShares.values()].some(h => h.readyAtMs === Infinity)
+  return state.isWriteDue || [...state.localShares.values()].some(localShare => localShare.readyAtMs === Infinity)
 }
 
 /** Asks every witness, this VM included, which version it knows. */
@@ -118,19 +118,19 @@
 
 /** Counts a witness's answer to the current round. */
 export function handleProofReply (state: OwnershipState, vm: string, reply: { nonce: number, version: number }, nowMs: number): LimitEffect[] {
-  const { proofRound: round, owners } = state
-  if (round === null || owners === null || round.nonce !== reply.nonce) return []
-  round.replies.set(vm, reply.version)
+  const { proofRound, owners } = state
+  if (proofRound === null || owners === null || proofRound.nonce !== reply.nonce) return []
+  proofRound.replies.set(vm, reply.version)
   checkProofRound(state, nowMs)
   return reply.version < owners.version ? [{ type: 'send', vm, body: { type: 'owners-update', owners } }] : []
 }
 
 function checkProofRound (state: OwnershipState, nowMs: number): void {
-  const { proofRound: round, owners } = state
-  if (round === null || owners === null || round.version !== owners.version) return
+  const { proofRound, owners } = state
+  if (proofRound === null || owners === null || proofRound.version !== owners.version) return
   const { witnesses } = owners.value
-  const supporters = witnesses.filter(vm => (round.replies.get(vm) ?? Infinity) <= round.version)
-  if (supporters.length >= countMajority(witnesses)) state.leaseUntilMs = Math.max(state.leaseUntilMs, round.sentAtMs + LEASE_MS)
+  const supporters = witnesses.filter(vm => (proofRound.replies.get(vm) ?? Infinity) <= proofRound.version)
+  if (supporters.length >= countMajority(witnesses)) state.leaseUntilMs = Math.max(state.leaseUntilMs, proofRound.sentAtMs + LEASE_MS)
   if (isConfirmed(state)) recordConfirmed(state, nowMs)
 }
 
@@ -143,10 +143,10 @@
  *
  * Where a majority of the previous witnesses has left the platform's list, all those still on it must know the version.
  */
-function isConfirmed ({ proofRound: round, owners, listed }: OwnershipState): boolean {
-  if (round === null || owners === null) return false
+function isConfirmed ({ proofRound, owners, listed }: OwnershipState): boolean {
+  if (proofRound === null || owners === null) return false
   const previousWitnesses = owners.value.previousWitnesses
-  const hasVersion = (vm: string): boolean => (round.replies.get(vm) ?? -1) >= owners.version
+  const hasVersion = (vm: string): boolean => (proofRound.replies.get(vm) ?? -1) >= owners.version
   if (previousWitnesses.filter(hasVersion).length >= countMajority(previousWitnesses)) return true
   if (listed === null) return false
   const listedWitnesses = previousWitnesses.filter(vm => listed.has(vm))
@@ -184,8 +184,8 @@
 }
 
 /** Before there are owners, the platform's list says which VMs are still to join; infinite afterwards. */
-function computeInitialVmListMs ({ owners, nextVmListAtMs: listAtMs }: OwnershipState): number {
-  return owners?.version === 0 ? listAtMs : Infinity
+function computeInitialVmListMs ({ owners, nextVmListAtMs }: OwnershipState): number {
+  return owners?.version === 0 ? nextVmListAtMs : Infinity
 }
 
 /** When the next round is due; infinite for a VM that neither owns nor wants anything. */
--- a/packages/proxy/src/limits/shares.ts
+++ b/packages/proxy/src/limits/shares.ts
@@ -58,10 +58,10 @@
 }
 
 /** What a share may count now; `undefined` for a share that does not exist, or not yet. */
-export function findShareRate ({ shares, shareCountChange: resplit }: WorkspaceLimit, index: number, nowMs: number): ShareRate | undefined {
+export function findShareRate ({ shares, shareCountChange }: WorkspaceLimit, index: number, nowMs: number): ShareRate | undefined {
   const share = shares[index]
-  if (share === undefined || resplit === null || nowMs >= resplit.untilMs) return share
-  const previousShare = resplit.previous[index]
+  if (share === undefined || shareCountChange === null || nowMs >= shareCountChange.untilMs) return share
+  const previousShare = shareCountChange.previous[index]
   if (previousShare === undefined) return undefined
   return { ...share, rate: Math.min(share.rate, previousShare.rate), burst: Math.min(share.burst, previousShare.burst) }
 }
@@ -133,8 +133,8 @@
 
 /** Keeps the witnesses that are still members and fills up. */
 export function pickWitnesses (currentWitnesses: readonly string[], members: readonly Member[]): string[] {
-  const kept = currentWitnesses.filter(vm => members.some(m => m.vm === vm))
-  const candidates = pickAcrossDomains('witness', members, members.length).filter(m => !kept.includes(m.vm))
-  const added = candidates.slice(0, Math.max(0, MAX_WITNESSES - kept.length)).map(m => m.vm)
-  return [...kept, ...added]
+  const keptWitnesses = currentWitnesses.filter(vm => members.some(m => m.vm === vm))
+  const candidates = pickAcrossDomains('witness', members, members.length).filter(m => !keptWitnesses.includes(m.vm))
+  const addedWitnesses = candidates.slice(0, Math.max(0, MAX_WITNESSES - keptWitnesses.length)).map(m => m.vm)
+  return [...keptWitnesses, ...addedWitnesses]
 }
--- a/packages/proxy/src/limits/start-limiter.ts
+++ b/packages/proxy/src/limits/start-limiter.ts
@@ -129,7 +129,7 @@
     switch (effect.type) {
       case 'resolve': return this.#resolveRequest(effect.requestId, effect.admission)
       case 'send': return this.#send(effect.vm, effect)
-      case 'wake': return this.#scheduleWake(effect.atMs)
+      case 'wake': return this.#scheduleTick(effect.atMs)
       case 'read-owners': this.#readOwners().catch(this.#logUnexpected)
         break
       case 'list-vms': this.#listVms().catch(this.#logUnexpected)
@@ -158,7 +158,7 @@
     else this.#options.peers.send(vm, SLICE, body)
   }
 
-  #scheduleWake (atMs: number): void {
+  #scheduleTick (atMs: number): void {
     clearTimeout(this.#timer)
     const delayMs = Math.max(0, Math.ceil(atMs - this.#options.clock.readNow()))
     this.#timer = setTimeout(() => this.#actor.tell({ type: 'tick' }), delayMs)
--- a/packages/proxy/src/limits/virtual-fleet.ts
+++ b/packages/proxy/src/limits/virtual-fleet.ts
@@ -131,7 +131,7 @@
   readonly suspected = new Set<string>()
   owners: { version: number, value: LimitOwners } | null = null
   readonly #options: VirtualFleetOptions
-  readonly #requests = new Map<string, { vm: string, workspace: string, askedAtMs: number, resolve?: (a: Admission) => void }>()
+  readonly #requests = new Map<string, { vm: string, workspace: string, requestedAtMs: number, resolve?: (a: Admission) => void }>()
   #nextRequestId = 1
 
   constructor (options: VirtualFleetOptions) {
@@ -198,7 +198,7 @@
   admit (vm: VirtualVm, workspace: string, resolve?: (admission: Admission) => void): void {
     const requestId = this.#nextRequestId++
     if (vm.state === null) return
-    this.#requests.set(`${vm.vm}/${requestId}`, { vm: vm.vm, workspace, askedAtMs: this.queue.nowMs, resolve })
+    this.#requests.set(`${vm.vm}/${requestId}`, { vm: vm.vm, workspace, requestedAtMs: this.queue.nowMs, resolve })
     this.deliver(vm, { type: 'admit', requestId, workspace, timeoutMs: 10_000 })
   }
 
@@ -246,28 +246,28 @@
 
   #runEffect (vm: VirtualVm, effect: LimitEffect): void {
     switch (effect.type) {
-      case 'resolve': return this.#record(vm, effect.requestId, effect.admission)
+      case 'resolve': return this.#recordAdmission(vm, effect.requestId, effect.admission)
       case 'send': return this.#send(vm, effect)
-      case 'wake': return this.#scheduleWake(vm, effect.atMs)
+      case 'wake': return this.#scheduleTick(vm, effect.atMs)
       case 'list-vms': return this.#requestService(vm, () => ({ type: 'listed', vms: this.vms.filter(v => v.state !== null).map(v => v.vm) }), null)
       case 'read-owners': return this.#requestService(vm, () => ({ type: 'owners-read', owners: this.owners }), { type: 'read-failed' })
       case 'write-owners': return this.#write(vm, effect.version, effect.value)
     }
   }
 
-  #record (vm: VirtualVm, requestId: number, admission: Admission): void {
+  #recordAdmission (vm: VirtualVm, requestId: number, admission: Admission): void {
     const key = `${vm.vm}/${requestId}`
     const request = this.#requests.get(key)
     if (request === undefined) return
     this.#requests.delete(key)
-    this.records.push({ atMs: this.queue.nowMs, vm: vm.vm, workspace: request.workspace, admission, requestedAtMs: request.askedAtMs })
+    this.records.push({ atMs: this.queue.nowMs, vm: vm.vm, workspace: request.workspace, admission, requestedAtMs: request.requestedAtMs })
     request.resolve?.(admission)
   }
 
-  #scheduleWake (vm: VirtualVm, atMs: number): void {
-    const order = ++vm.scheduledTickId
+  #scheduleTick (vm: VirtualVm, atMs: number): void {
+    const tickId = ++vm.scheduledTickId
     this.queue.schedule((atMs - vm.clockOffsetMs) / vm.clockSpeed, () => {
-      if (vm.scheduledTickId === order) this.deliver(vm, { type: 'tick' })
+      if (vm.scheduledTickId === tickId) this.deliver(vm, { type: 'tick' })
     })
   }
 
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -45,20 +45,20 @@
 
 /** Compares a workspace's admissions with those of one exact bucket, which is full at `startMs`. */
 export function computeLoadResult (records: readonly AdmissionRecord[], workspace: string, rate: Rate, startMs: number): LoadResult {
-  const own = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
-  const perMs = rate.statementsPerSecond / 1000
-  const bucket = createBucket(perMs, rate.burst, startMs - rate.burst / perMs)
-  const result = { requests: own.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
-  for (const { requestedAtMs: askedAtMs, atMs, admission } of own) {
-    const isWithin = countAvailable(bucket, askedAtMs) >= 1
+  const workspaceRecords = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
+  const ratePerMs = rate.statementsPerSecond / 1000
+  const bucket = createBucket(ratePerMs, rate.burst, startMs - rate.burst / ratePerMs)
+  const result = { requests: workspaceRecords.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
+  for (const { requestedAtMs, atMs, admission } of workspaceRecords) {
+    const isWithin = countAvailable(bucket, requestedAtMs) >= 1
     if (isWithin) {
       reserveTokens(bucket, 1)
-      spendReserved(bucket, 1, askedAtMs)
+      spendReserved(bucket, 1, requestedAtMs)
       result.within += 1
       if (!admission.admitted) result.wrongful += 1
     }
     if (admission.admitted) result.admitted += 1
-    result.longestWaitMs = Math.max(result.longestWaitMs, atMs - askedAtMs)
+    result.longestWaitMs = Math.max(result.longestWaitMs, atMs - requestedAtMs)
   }
   return result
 }
