--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -6,40 +6,45 @@
 import { emptyOwners, type OwnershipState } from './ownership-state.ts'
 import { computeTargetOwners, listByRendezvous, MAX_WITNESSES, parseShareIndex, pickWitnesses } from './shares.ts'
 
-/** A VM that has been missed this long loses its shares. */
+/** A VM that has been missing from the members this long loses its shares and its place as a witness. */
 const MISSING_TIMEOUT_MS = 2_000
-/** A VM that has just started does not yet know its peers; the first owners are not chosen before all are likely to be known. */
+/** A VM that has just started does not yet know its peers. It waits until it is likely to know all of them before it assigns shares. */
 const STARTUP_SETTLE_MS = 1_000
-/** The first owners wait for so long for VMs on the platform's list that have not joined: a single witness may be lost for good. */
+/**
+ * How long the first assignment waits for VMs on the platform's list that have not joined. Without the wait, a VM that starts
+ * early could become the only witness, and that one may be lost for good.
+ */
 const INITIAL_JOIN_TIMEOUT_MS = 5_000
-/** The same for a VM that knows no other, as the list lags. */
+/** The same wait on a VM that knows no other VM when the list names none either, as the list may lag behind. */
 const LONE_VM_JOIN_WAIT_MS = 3_000
-/** The next VM in line writes this much later, so that mostly one does. */
+/** Delay between one VM's turn to write and the next VM's, so that usually only one of them writes. */
 const WRITE_RANK_DELAY_MS = 400
-/** Shares move to new members only after no member has come or gone for this long. */
+/** Shares move to new members only after no member has joined or left for this long. */
 const REBALANCE_DELAY_MS = 15_000
-/** A VM that has itself just started waits less: the whole fleet may be new, with one owner of everything. */
+/** While members change this soon after its start, a VM waits less: the whole fleet may be new, with one VM that owns every share. */
 const RECENT_START_MS = 60_000
 const RECENT_START_REBALANCE_DELAY_MS = 2_000
-/** Time between two batches of shares that one VM hands over while it goes on running. */
+/** Time between two batches of shares that a VM hands over while it is not stopping. */
 const HANDOVER_INTERVAL_MS = 2_000
 const WRITE_RETRY_MS = 1_000
+/** Upper bound of the delay before the owners object is read again after a write conflicted or had an unknown outcome. */
 const CONFLICT_JITTER_MS = 200
 
+/** Outcome of a write of the owners object; `failed` means that the object is unchanged, `unknown` that it may have changed. */
 export type WriteResult = { outcome: 'written', owners: VersionedOwners } | { outcome: 'conflict' | 'unknown' | 'failed' }
 
-/** What the owners object lacks. */
+/** The changes that the owners object needs. */
 interface AssignmentWork {
-  /** The object does not exist. */
+  /** True when the owners object does not exist yet. */
   isInitial: boolean
-  /** Shares that this VM has stopped counting for good. */
+  /** Shares that this VM has stopped counting and whose granted tokens have expired. */
   releasableShares: string[]
-  /** Shares of VMs that are gone. */
+  /** Shares of VMs that have been missing too long. */
   lostShares: string[]
   hasWitnessChange: boolean
 }
 
-/** Takes in the members and notes who is missed. */
+/** Updates the members, the candidates for shares and the missing VMs. */
 export function handleMembers (state: OwnershipState, members: Member[], nowMs: number): void {
   const placeableBefore = formatPlaceable(state.members)
   state.members = members
@@ -59,7 +64,7 @@
   return listPlaceable(members).map(m => m.vm).sort().join()
 }
 
-/** Notes since when VMs that own or witness something have been missed. */
+/** Records since when each owner and witness has been missing from the members. */
 export function recordMissingVms (state: OwnershipState, nowMs: number): void {
   const requiredVms = new Set([...state.ownerVms, ...state.owners?.value.witnesses ?? []])
   const presentVms = new Set(state.members.filter(m => m.state !== 'dead').map(m => m.vm))
@@ -68,7 +73,11 @@
   for (const vm of requiredVms) if (!presentVms.has(vm) && !state.missingSinceMs.has(vm)) state.missingSinceMs.set(vm, nowMs)
 }
 
-/** Writes a new version of the owners object when one is wanted, allowed and this VM's turn. */
+/**
+ * Returns the write of a new version of the owners object when one is needed and it is this VM's turn.
+ *
+ * The known version must be confirmed first, see `confirmedVersion`.
+ */
 export function planAssignment (state: OwnershipState, nowMs: number): LimitEffect[] {
   const { owners } = state
   if (owners === null || state.needsRead || state.isWriting || state.candidates.length === 0) return []
@@ -86,7 +95,7 @@
   state.isWriting = true
   const value = createAssignment(state, owners.value, work)
   const fields = { baseVersion: owners.version, released: work.releasableShares.length, lost: work.lostShares.length, witnesses: value.witnesses }
-  return [{ type: 'log', message: 'limit owners reassigned', fields }, { type: 'write-owners', version: owners.version, value }]
+  return [{ type: 'log', message: 'writing limit owners', fields }, { type: 'write-owners', version: owners.version, value }]
 }
 
 function findAssignmentWork (state: OwnershipState, nowMs: number): AssignmentWork | null {
@@ -99,7 +108,7 @@
   return isInitial || releasableShares.length > 0 || lostShares.length > 0 || hasWitnessChange ? { isInitial, releasableShares, lostShares, hasWitnessChange } : null
 }
 
-/** Shares that this VM has stopped counting and whose tokens have all ended. */
+/** Shares that this VM has stopped counting and whose granted tokens have all expired. */
 function listReleasableShares (state: OwnershipState, nowMs: number): string[] {
   const releasable: string[] = []
   for (const [name, { handover }] of state.localShares) if (handover !== null && handover.grantsExpireAtMs <= nowMs) releasable.push(name)
@@ -110,7 +119,7 @@
   return nowMs - (state.missingSinceMs.get(vm) ?? Infinity) >= MISSING_TIMEOUT_MS
 }
 
-/** When there are witnesses to add, or this VM must leave them; infinite while there are enough. */
+/** When witnesses are to be added, or this VM is to be replaced as a witness because it stops; infinite when neither is needed. */
 function computeWitnessChangeMs (state: OwnershipState): number {
   const { witnesses } = state.owners?.value ?? emptyOwners
   if (state.isStopping && witnesses.includes(state.self.vm)) return -Infinity
@@ -118,7 +127,7 @@
   return witnesses.length < wantedCount ? state.membersChangedAtMs + computeMembershipSettleMs(state) : Infinity
 }
 
-/** Handing over needs no turn; the rest is done by the first VM in line, then by the next. */
+/** When this VM may write. It releases its own shares without waiting for a turn; for other changes, VMs take turns in rendezvous order. */
 function computeNextWriteMs (state: OwnershipState, work: AssignmentWork): number {
   if (work.releasableShares.length > 0) return state.retryAtMs
   const writerOrder = listByRendezvous('assigner', state.candidates)
@@ -129,7 +138,7 @@
   return Math.max(state.retryAtMs, settledAtMs, joinWaitEndsAtMs, (state.writeNeededSinceMs ?? 0) + turnDelayMs)
 }
 
-/** How long after its start a VM waits for others before it chooses the first owners. */
+/** How long after its start a VM waits for others before it makes the first assignment. */
 function computeJoinWaitMs ({ listed, members }: OwnershipState): number {
   const joinedVms = new Set(members.map(m => m.vm))
   const hasMissingVm = listed === null || [...listed].some(vm => !joinedVms.has(vm))
@@ -150,7 +159,7 @@
   return { shares, witnesses, previousWitnesses: previousOwners.witnesses }
 }
 
-/** Stops counting shares that another member should own; of each workspace at most one at a time. */
+/** Stops counting shares that another member should own, at most one share of each workspace at a time. */
 function stopCountingMisplacedShares (state: OwnershipState, nowMs: number): void {
   if (nowMs < computeNextRebalanceMs(state)) return
   state.lastRebalanceAtMs = nowMs
@@ -163,29 +172,35 @@
   }
 }
 
+/** When misplaced shares may next be handed over; infinite when this VM has nothing to hand over or nobody to hand it to. */
 function computeNextRebalanceMs (state: OwnershipState): number {
   if (state.localShares.size === 0 || state.isBalanced || state.candidates.length < 2) return Infinity
   return Math.max(state.membersChangedAtMs + computeMembershipSettleMs(state), state.lastRebalanceAtMs + HANDOVER_INTERVAL_MS)
 }
 
-/** How long the members must stay the same before shares or witnesses are changed for them. */
+/** How long the members must stay the same before shares or witnesses follow a change of members. */
 function computeMembershipSettleMs (state: OwnershipState): number {
   return state.membersChangedAtMs - state.startedAtMs < RECENT_START_MS ? RECENT_START_REBALANCE_DELAY_MS : REBALANCE_DELAY_MS
 }
 
-/** Begins a planned stop: every share is handed over. */
+/** Begins a planned stop: this VM stops counting all its shares, so that other VMs can take them over. */
 export function startStopping (state: OwnershipState, nowMs: number): void {
   state.isStopping = true
   recordCandidates(state)
   for (const localShare of state.localShares.values()) stopCounting(localShare, nowMs)
 }
 
-/** True when a stop need not wait any longer. */
+/** True when this VM is stopping and has no shares left, or there is no VM to take them over. */
 export function isStopped (state: OwnershipState): boolean {
   return state.isStopping && (state.localShares.size === 0 || state.candidates.length === 0)
 }
 
-/** Takes in what became of a write. A lost answer is looked up; until then the shares concerned stay stopped. */
+/**
+ * Processes the outcome of a write.
+ *
+ * After a failed write, this VM counts the shares again that it was to release. After a conflict or an unknown outcome, it
+ * reads the object to learn what was written; until it knows, it does not count them.
+ */
 export function handleWriteResult (state: OwnershipState, outcome: WriteResult['outcome'], nowMs: number): void {
   state.isWriting = false
   if (outcome === 'written') return
@@ -199,7 +214,7 @@
   for (const h of state.localShares.values()) if (h.handover !== null) h.handover.uncertainBaseVersion = state.owners?.version ?? 0
 }
 
-/** When something may have to be written; infinite while all is in place. */
+/** When `planAssignment` may next have something to do; infinite while nothing needs to change. */
 export function computeAssignmentWakeMs (state: OwnershipState, nowMs: number): number {
   if (state.owners === null || state.needsRead || state.isWriting) return Infinity
   const times = [computeNextRebalanceMs(state), computeWitnessChangeMs(state)]
--- a/packages/proxy/src/limits/decide-limits.ts
+++ b/packages/proxy/src/limits/decide-limits.ts
@@ -14,33 +14,37 @@
 import { flushSpender, handleAdmit, handleGrants, tickSpender, type SpenderContext } from './spender.ts'
 import { createSpenderState, type SpenderState } from './spender-state.ts'
 
-/** Shortest time between two ticks that are not urgent. */
+/** Shortest delay of a scheduled tick. */
 const MIN_TICK_INTERVAL_MS = 4
 
+/** All state of the limits slice in one process. */
 export interface LimitState {
   self: VmProcess
+  /** Keyed by workspace. */
   limits: Map<string, WorkspaceLimit>
   context: LedgerContext & SpenderContext
   spender: SpenderState
   ledger: LedgerState
   ownership: OwnershipState
+  /** When the next tick is scheduled; infinite when none is. */
   wakeAtMs: number
-  /** When ownership next has something to do. */
+  /** When the ownership state next has work that a tick must do. */
   ownershipWakeMs: number
 }
 
 export type LimitInput =
   | { type: 'admit', requestId: number, workspace: string, timeoutMs: number }
   | { type: 'peer', from: VmProcess, body: LimitMessage }
-  /** `null` removes the workspace. */
+  /** A workspace's new rate; `null` removes the workspace. */
   | { type: 'rate', workspace: string, rate: Rate | null }
-  /** A version that configuration learned. */
+  /** A version of the owners object that the configuration learned of. */
   | { type: 'owners', owners: VersionedOwners }
-  /** What this process read itself; `null` while there is no such object. */
+  /** The owners object that this process read from the object service; `null` when it does not exist. */
   | { type: 'owners-read', owners: VersionedOwners | null }
   | { type: 'read-failed' }
   | { type: 'write-result', result: WriteResult }
   | { type: 'members', members: Member[] }
+  /** The platform's list of VMs. */
   | { type: 'listed', vms: string[] }
   | { type: 'tick' }
   | { type: 'stop' }
@@ -60,7 +64,7 @@
   }
 }
 
-/** What the parts of the state may ask of each other. */
+/** Look-ups by which the spender and the ledger read other parts of the state. */
 function createContext (limits: LimitState['limits'], ownership: OwnershipState): LedgerContext & SpenderContext {
   return {
     findLimit: workspace => limits.get(workspace),
@@ -69,7 +73,11 @@
   }
 }
 
-/** Decides all that this VM does for the limits: as an entry VM, as an owner and as a witness. */
+/**
+ * Decides what this VM does about limits: as an entry VM, as an owner and as a witness.
+ *
+ * Changes `state` in place and returns it with the effects to run.
+ */
 export function decideLimits (state: LimitState, input: LimitInput, nowMs: number): Step<LimitState, LimitEffect> {
   const effects = applyInput(state, input, nowMs)
   if (hasOwnershipWork(state, input, nowMs)) effects.push(...decideOwnership(state, nowMs))
--- a/packages/proxy/src/limits/ledger.ts
+++ b/packages/proxy/src/limits/ledger.ts
@@ -2,49 +2,53 @@
 import type { Demand, DemandItem, Grant, GrantReport, Grants } from './messages.ts'
 import { findShareRate, type WorkspaceLimit } from './shares.ts'
 
-/** How long a granted token may be used, from the moment its entry VM asked. */
+/** How long a granted token may be spent, counted from the time at which the entry VM sent its demand. */
 export const TOKEN_LIFETIME_MS = 250
-/** Allowance for clocks of different speed, over one lifetime or lease. */
+/** Largest difference in speed between two VMs' clocks that is allowed for over a token lifetime or a lease. */
 export const MAX_CLOCK_DRIFT_FRACTION = 0.01
-/** Time after a token's end in which its report may still arrive. */
+/** How long after a token's expiry its report may still arrive. */
 const REPORT_GRACE_MS = 300
-/** Part of the available tokens that may be granted ahead of need. */
+/** Fraction of the available tokens that may be granted for requests that are only expected. */
 const PREFETCH_FRACTION = 0.2
 const SWEEP_INTERVAL_MS = 1_000
-/** Until a share is counted here, callers ask again after this. */
+/** Retry delay sent to entry VMs while this VM does not count the share. */
 const NOT_COUNTING_RETRY_AFTER_MS = 500
 
 interface OpenGrant {
   id: number
-  /** Entry VM that holds it. */
+  /** Entry VM that holds the grant. */
   vm: string
   account: Account
+  /** Tokens not yet reported as spent. */
   left: number
   spent: number
-  /** Real time after which no token of it can be spent. */
+  /** Time on this VM's clock after which none of the grant's tokens can be spent. */
   expiresAtMs: number
 }
 
+/** The token bucket of one workspace's share. */
 interface Account {
+  /** Name of the share in the owners object. */
   share: string
   bucket: TokenBucket
 }
 
-/** What an owner knows of the shares that it counts. */
+/** An owner's buckets for the shares that it counts, and the grants that entry VMs hold. */
 export interface LedgerState {
-  /** By workspace and share index. */
+  /** Keyed by `workspace/shareIndex`. */
   accounts: Map<string, Account>
+  /** Keyed by grant id, so in order of expiry. */
   grants: Map<number, OpenGrant>
   nextGrantId: number
-  /** Highest message number seen from each entry VM. */
+  /** Latest demand processed from each entry VM. */
   latestDemands: Map<string, { incarnation: number, seq: number }>
   lastSweepAtMs: number
 }
 
-/** Facts about the share that the ledger takes from its surroundings. */
+/** Look-ups that the ledger needs from the rest of the limits state. */
 export interface LedgerContext {
   findLimit: (workspace: string) => WorkspaceLimit | undefined
-  /** When counting of the share began with an empty bucket; `undefined` while it is not counted here. */
+  /** When this VM began to count the share, with an empty bucket; `undefined` while it may not count it. */
   findCountingStartMs: (share: string, nowMs: number) => number | undefined
 }
 
@@ -53,9 +57,11 @@
 }
 
 /**
- * Answers a demand: takes in its reports, then grants what the buckets hold.
+ * Processes a demand: applies its reports, then grants tokens from the buckets.
  *
- * @returns `undefined` for a message that was already answered or came out of order
+ * Reports are applied also from a demand that is a repeat or arrived out of order.
+ *
+ * @returns `undefined` when there is nothing to send: the demand has no items, is a repeat or arrived out of order
  */
 export function handleDemand (
   state: LedgerState, context: LedgerContext, from: { vm: string, incarnation: number }, localIncarnation: number, demand: Demand, nowMs: number
@@ -94,7 +100,11 @@
   return id
 }
 
-/** The account by which a share is counted now, with the rate that holds now. */
+/**
+ * Returns the share's account with its bucket set to the rate in force now.
+ *
+ * @returns `undefined` for a workspace or share without a limit, and while this VM may not count the share
+ */
 function findOrCreateAccount (state: LedgerState, context: LedgerContext, item: DemandItem, nowMs: number): Account | undefined {
   const limit = context.findLimit(item.workspace)
   const share = limit === undefined ? undefined : findShareRate(limit, item.share, nowMs)
@@ -114,7 +124,7 @@
   return created
 }
 
-/** Applies a cumulative report; late, repeated and reordered ones change nothing. */
+/** Applies a cumulative report. Late, repeated and reordered reports change nothing. */
 function applyReport (state: LedgerState, vm: string, report: GrantReport, nowMs: number): void {
   const grant = state.grants.get(report.id)
   if (grant === undefined || grant.vm !== vm) return
@@ -129,7 +139,7 @@
   if (!report.open || grant.left === 0) state.grants.delete(grant.id)
 }
 
-/** Takes unreported tokens as spent at their end, and forgets buckets that equal fresh ones. */
+/** Counts unreported tokens of expired grants as spent at their expiry, and drops buckets that equal newly created ones. */
 function expireGrants (state: LedgerState, context: LedgerContext, nowMs: number): void {
   for (const grant of state.grants.values()) {
     if (grant.expiresAtMs + REPORT_GRACE_MS > nowMs) break
@@ -145,12 +155,12 @@
   }
 }
 
-/** When every token granted so far is surely spent or void. */
+/** The time after which no token granted up to `nowMs` can be spent. */
 export function computeGrantExpiryMs (nowMs: number): number {
   return nowMs + TOKEN_LIFETIME_MS * (1 + MAX_CLOCK_DRIFT_FRACTION)
 }
 
-/** Forgets the accounts of a share that another VM counts from now on. */
+/** Drops the accounts and grants of a share that this VM no longer owns. */
 export function dropShare (state: LedgerState, share: string): void {
   for (const [key, account] of state.accounts) if (account.share === share) state.accounts.delete(key)
   for (const grant of state.grants.values()) if (grant.account.share === share) state.grants.delete(grant.id)
--- a/packages/proxy/src/limits/limiter.ts
+++ b/packages/proxy/src/limits/limiter.ts
@@ -1,8 +1,12 @@
-/** The answer to one request for admission. */
+/** The result of one admission request. A refused client may retry after `retryAfterMs`. */
 export type Admission = { admitted: true } | { admitted: false, retryAfterMs: number, reason: string }
 
 /** Counts statements against a workspace's rate and burst over the whole fleet. */
 export abstract class Limiter {
-  /** Resolves within `timeoutMs`; a refusal is final and says when to come back. */
+  /**
+   * Requests admission of one statement of the workspace.
+   *
+   * Resolves within `timeoutMs`. A refusal is final for this request; its `retryAfterMs` says when to retry.
+   */
   abstract admit (workspace: string, timeoutMs: number): Promise<Admission>
 }
--- a/packages/proxy/src/limits/limits-fairness.test.ts
+++ b/packages/proxy/src/limits/limits-fairness.test.ts
@@ -6,8 +6,9 @@
 const VM_COUNT = 9
 const WARM_UP_MS = 5_000
 const END_MS = 65_000
-/** Largest part of the requests within the rate that may be refused without faults. */
+/** Largest fraction of the requests within the rate that may be refused when there are no faults. */
 const MAX_WRONGFUL_FRACTION = 0.001
+/** Requests sent, as a fraction of the workspace's rate. */
 const LOAD_FRACTION = 0.8
 const ABUSER_LOAD_FRACTION = 10
 const rates: Record<string, Rate> = {
@@ -38,11 +39,11 @@
 }
 
 describe('limits without faults', () => {
-  it('hardly ever refuses a request within the rate while load moves between VMs', () => {
+  it('refuse fewer than 0.1 % of the requests within the rate while load moves between VMs', () => {
     expect(computeWrongfulFraction(runLoad(7, LOAD_FRACTION).values())).to.be.below(MAX_WRONGFUL_FRACTION)
   })
 
-  it('serves every other workspace as well while one sends ten times its rate', () => {
+  it('refuse fewer than 0.1 % of the requests within the rate of other workspaces while one sends ten times its rate', () => {
     const results = runLoad(8, ABUSER_LOAD_FRACTION)
     const abuser = results.get('abuser')!
     results.delete('abuser')
@@ -50,7 +51,7 @@
     expect(abuser.admitted / abuser.within).to.be.within(0.9, 1)
   })
 
-  it('answers every request at once or after a few round trips', () => {
+  it('decide every request within 100 ms', () => {
     const longest = [...runLoad(9, ABUSER_LOAD_FRACTION).values()].map(r => r.longestWaitMs)
     expect(Math.max(...longest)).to.be.at.most(100)
   })
--- a/packages/proxy/src/limits/limits-liveness.test.ts
+++ b/packages/proxy/src/limits/limits-liveness.test.ts
@@ -41,12 +41,12 @@
   expect(wrongful / within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
 }
 
-describe('limits owners', () => {
-  it('count every share soon after the first start', () => {
+describe('owners of limit shares', () => {
+  it('count every share 5 s after the first start', () => {
     expect(countCountedShares(startFleet(1))).to.equal(SHARE_TOTAL)
   })
 
-  it('go on through an outage of the object service, a restart included', () => {
+  it('serve requests within the rate during an outage of the object service and count every share after a restart in it', () => {
     const fleet = startFleet(2)
     fleet.service = 'down'
     startLoads(fleet, 0.6, 60_000)
@@ -58,7 +58,7 @@
     expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
   })
 
-  it('are replaced after a crash, while the other shares serve', () => {
+  it('are replaced after a crash while requests are served from the other shares', () => {
     const fleet = startFleet(3)
     startLoads(fleet, 0.5, 40_000)
     fleet.queue.schedule(8_000, () => fleet.killVm(fleet.vms[2]!))
@@ -67,7 +67,7 @@
     checkWrongfulRefusals(fleet, 'large', WARM_UP_MS)
   })
 
-  it('hand over at a planned stop without refusing anything', () => {
+  it('hand their shares over at a planned stop with fewer than 0.1 % wrongful refusals', () => {
     const fleet = startFleet(4)
     startLoads(fleet, 0.5, 30_000)
     const leaving = fleet.vms[5]!
@@ -79,7 +79,7 @@
     checkWrongfulRefusals(fleet, 'large', WARM_UP_MS)
   })
 
-  it('spread to VMs that join', () => {
+  it('hand shares over to a VM that joins', () => {
     const fleet = startFleet(5)
     fleet.addVm('vm-joined')
     fleet.queue.runUntil(60_000)
@@ -87,7 +87,7 @@
     expect(countCountedShares(fleet)).to.equal(SHARE_TOTAL)
   })
 
-  it('are found anew when every VM is replaced at once', () => {
+  it('are assigned again when every VM is replaced at once', () => {
     const fleet = startFleet(6)
     for (const vm of [...fleet.vms]) fleet.killVm(vm)
     fleet.vms.length = 0
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -7,14 +7,14 @@
 
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
-/** A long run sets these; see docs/decisions/limits.md. */
+/** Long runs override these through the environment; see docs/decisions/limits.md. */
 const RUNS = Number(process.env.LIMITS_RUNS ?? 1_000)
 const SEED = Number(process.env.LIMITS_SEED ?? 20_261)
 const VM_COUNT = 5
 const FIRST_FAULT_MS = 2_000
 const LAST_FAULT_MS = 4_000
 const END_MS = 16_000
-/** Clocks run this much too fast or too slow, so the bound may be exceeded by this part of the rate. */
+/** Clocks run fast or slow by up to this fraction, so the bound may be exceeded by this fraction of the rate. */
 const CLOCK_DRIFT_FRACTION = 0.004
 const rates: Record<string, Rate> = {
   large: { statementsPerSecond: 20, burst: 24 },
@@ -60,7 +60,7 @@
 type FaultKind = typeof faultKinds[number]
 const doNothing = (): void => {}
 
-/** Each begins a fault and returns what ends it. */
+/** Each function starts a fault and returns a function that ends it. */
 const faultActions: Record<FaultKind, (fleet: VirtualFleet, vm: VirtualVm, fault: Fault) => () => void> = {
   pause: (fleet, vm, { durationMs }) => {
     fleet.pauseVm(vm, durationMs)
@@ -128,7 +128,7 @@
   return () => { fleet.service = 'up' }
 }
 
-/** Every VM asks for far more than the rate, in clumps, so that each token is taken as soon as it can be. */
+/** Requests far more than the rate, from random VMs and partly in batches, so that each token is taken as soon as it can be. */
 function startClients (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
   const sendBatch = (): void => {
     const vm = fleet.vms[Math.floor(fleet.random() * fleet.vms.length)]!
@@ -153,7 +153,7 @@
   return fleet
 }
 
-/** Looks at every window that begins and ends with an admission; returns the largest excess, in requests. */
+/** Returns the largest excess over rate and burst, in requests, of all windows that begin and end with an admission. */
 function findLargestExcess (records: readonly AdmissionRecord[], workspace: string, rate = rates[workspace]!): number {
   const { statementsPerSecond, burst } = rate
   const times = records.filter(r => r.workspace === workspace && r.admission.admitted).map(r => r.atMs)
@@ -178,7 +178,7 @@
   return fc.check(fc.property(scenarioArbitrary, scenario => checkBound(scenario, decide)), { seed: SEED, numRuns: RUNS, endOnFailure: true })
 }
 
-/** Each VM has an equal part of the rate, full at each start. */
+/** Each VM counts an equal fraction of the rate by itself, with a bucket that is full at each start. */
 const decideEqualSplit: LimitDecide = (state, input, nowMs) => {
   if (input.type !== 'admit') return { state, effects: [] }
   const rate = rates[input.workspace]!
@@ -193,21 +193,21 @@
   return { state, effects: [{ type: 'resolve', requestId: input.requestId, admission }] }
 }
 
-/** Tokens may be spent however late they are. */
+/** Granted tokens may be spent without a time limit. */
 const decideWithoutExpiry: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
   for (const s of step.state.spender.workspaces.values()) for (const g of s.grants) g.expiresAtMs = Infinity
   return step
 }
 
-/** A new owner counts at once, whatever the old one still does. */
+/** A new owner counts at once, although the previous owner may still count. */
 const decideWithoutTakeoverWait: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
   for (const h of step.state.ownership.localShares.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
   return step
 }
 
-/** An owner counts on without its witnesses. */
+/** An owner continues to count without the confirmation of its witnesses. */
 const decideWithoutLease: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
   step.state.ownership.leaseUntilMs = Infinity
@@ -215,7 +215,7 @@
 }
 
 const CHANGE_RUNS = 300
-/** Time in which a configuration reaches every VM. */
+/** Time within which a change of the configuration reaches every VM. */
 const PROPAGATION_MS = 6_000
 const rateArbitrary: fc.Arbitrary<Rate> = fc.record({
   statementsPerSecond: fc.constantFrom(1, 5, 20, 40),
@@ -227,7 +227,7 @@
 })
 type Change = { atMs: number, rate: Rate }
 
-/** Each VM learns of a change at its own time, always in order. */
+/** Delivers the changes to each VM at different times, always in order. */
 function scheduleChanges (fleet: VirtualFleet, changes: readonly Change[]): void {
   const ordered = [...changes].sort((a, b) => a.atMs - b.atMs)
   for (const vm of fleet.vms) {
@@ -239,7 +239,7 @@
   }
 }
 
-/** While a change is under way, the larger rate and burst bound what is admitted. */
+/** Returns the largest excess over the largest rate and the largest burst of the run, which bound the admissions while contracts change. */
 function findChangeExcess (seed: number, changes: readonly Change[]): number {
   const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
   startClients(fleet, 'large', 30)
@@ -251,14 +251,14 @@
 }
 
 describe('limits under faults', () => {
-  it('never admits more than the larger rate and burst while contracts change', () => {
+  it('never admit more than the largest rate and burst while contracts change', () => {
     const property = fc.property(changeArbitrary, ({ seed, changes }) => {
       expect(findChangeExcess(seed, changes)).to.be.at.most(1e-6)
     })
     fc.assert(property, { seed: SEED, numRuns: CHANGE_RUNS })
   })
 
-  it('never admits more than rate and burst in any window over the fleet', () => {
+  it('never admit more than rate and burst over the whole fleet in any time window', () => {
     fc.assert(fc.property(scenarioArbitrary, scenario => checkBound(scenario, decideLimits)), { seed: SEED, numRuns: RUNS })
   })
 
@@ -269,7 +269,7 @@
     ['owners without a lease', decideWithoutLease]
   ]
   for (const [name, decide] of unsafeVariants) {
-    it(`sees the excess of ${name}`, () => {
+    it(`are found to exceed the bound with ${name}`, () => {
       expect(checkProperty(decide).failed).to.equal(true)
     })
   }
--- a/packages/proxy/src/limits/ownership-state.ts
+++ b/packages/proxy/src/limits/ownership-state.ts
@@ -3,70 +3,76 @@
 import type { VmProcess } from './effects.ts'
 import type { VersionedOwners } from './messages.ts'
 
-/** A share that the owners object gives to this VM. */
+/** A share that the owners object assigns to this VM. */
 export interface LocalShare {
+  /** Epoch of the share in the owners object; each assignment increases it. */
   epoch: number
-  /** When this VM may begin to count it; infinite until a majority of witnesses knows of the change. */
+  /** When this VM may begin to count the share; infinite until a majority of the previous witnesses is known to know of the change. */
   readyAtMs: number
-  /** Set while the share is being handed over: nothing is granted any more. */
+  /** Set while the share is being handed over; this VM then grants none of its tokens. */
   handover: Handover | null
 }
 
+/** The state of giving up one share. */
 export interface Handover {
-  /** When the last token granted has ended. */
+  /** When the last token that this VM granted from the share expires. */
   grantsExpireAtMs: number
-  /** False when earlier owners may still count, so that the next owner must wait for them. */
+  /** False when earlier owners may still count the share, so that the next owner must wait until they cannot. */
   wasReady: boolean
-  /** Version that an attempt to write was based on whose outcome is unknown. */
+  /** Version on which a write of the owners object with unknown outcome was based; `null` when there is none. */
   uncertainBaseVersion: number | null
 }
 
-/** One question to all witnesses, and the versions that they answered. */
+/** One proof request sent to all witnesses, and the versions in their replies. */
 export interface ProofRound {
   nonce: number
   sentAtMs: number
+  /** Version of the owners object that this VM knew when it sent the request. */
   version: number
+  /** Versions by witness VM. */
   replies: Map<string, number>
 }
 
 export interface OwnershipState {
   self: VmProcess
   startedAtMs: number
-  /** Newest version of the owners object known; version 0 while it does not exist. */
+  /** Newest known version of the owners object. `null` before this process learns of one; version 0 when the object does not exist. */
   owners: VersionedOwners | null
   /** VMs that own at least one share. */
   ownerVms: Set<string>
-  /** True once this process has read the object service itself; before, it is no witness. */
+  /** True once this process has read the owners object from the object service; until then it does not act as a witness. */
   hasReadOwners: boolean
+  /** Keyed by share name. */
   localShares: Map<string, LocalShare>
-  /** Until then a majority of witnesses vouched that nobody has taken over. */
+  /** End of the lease within which a majority of witnesses has confirmed that no other VM has taken over. */
   leaseUntilMs: number
   proofRound: ProofRound | null
   nextNonce: number
   /** Newest version that a majority of the previous witnesses is known to know. */
   confirmedVersion: number
   members: Member[]
-  /** Members that may be given shares; this VM only while it is not stopping. */
+  /** Members that may be assigned shares; includes this VM only while it is not stopping. */
   candidates: Member[]
-  /** When a VM that owns or witnesses something was first missed. */
+  /** When each VM that owns shares or is a witness was first found missing from the members. */
   missingSinceMs: Map<string, number>
-  /** VMs on the platform's list; `null` while that was not asked for. */
+  /** VMs on the platform's list; `null` when this VM has no list that is still of use. */
   listed: Set<string> | null
-  /** The list is not asked for again before this. */
+  /** Earliest time of the next request for the platform's list of VMs. */
   nextVmListAtMs: number
-  /** The object must be read before anything is written. */
+  /** True when the owners object must be read before it may be written. */
   needsRead: boolean
   isReading: boolean
   isWriting: boolean
+  /** Earliest time of the next read or write of the owners object. */
   retryAtMs: number
-  /** Since when something has had to be written, by whichever VM. */
+  /** Since when a new version of the owners object has been needed, whichever VM writes it; `null` when none is needed. */
   writeNeededSinceMs: number | null
-  /** True when it is this VM's turn to write. */
+  /** True when a new version is needed and it is this VM's turn to write it. */
   isWriteDue: boolean
   isStopping: boolean
   membersChangedAtMs: number
   lastRebalanceAtMs: number
-  /** No share of this VM should be elsewhere, as long as members and owners stay. */
+  /** True when no share of this VM should move to another VM; holds until members or owners change. */
   isBalanced: boolean
 }
 
@@ -100,4 +106,5 @@
   }
 }
 
+/** Value used while the owners object does not exist. */
 export const emptyOwners: LimitOwners = { shares: {}, witnesses: [], previousWitnesses: [] }
--- a/packages/proxy/src/limits/ownership.ts
+++ b/packages/proxy/src/limits/ownership.ts
@@ -3,22 +3,22 @@
 import type { VersionedOwners } from './messages.ts'
 import { emptyOwners, type LocalShare, type OwnershipState } from './ownership-state.ts'
 
-/** How long a majority's word lets an owner count, from the moment it asked. */
+/** How long the confirmation of a majority of witnesses lets an owner count, from the time at which it sent the request. */
 export const LEASE_MS = 5_000
 const LEASE_RENEWAL_INTERVAL_MS = 2_500
-/** Rounds repeat faster while something waits for one. */
+/** Interval between proof rounds while the renewal of the lease or the confirmation of a version is outstanding. */
 const URGENT_ROUND_INTERVAL_MS = 250
-/** After this long without a majority, the platform's list of VMs is asked for. */
+/** Shortest time between two requests for the platform's list of VMs while a majority of the previous witnesses does not respond. */
 const VM_LIST_INTERVAL_MS = 2_000
-/** The same before there are owners. */
+/** Interval between requests for the platform's list of VMs before the owners object exists. */
 const INITIAL_VM_LIST_INTERVAL_MS = 500
 const READ_RETRY_MS = 500
-/** VMs that are told of a new version directly; the rest learn it from the configuration. */
+/** Number of VMs that a new version is sent to directly; the others learn of it from the configuration. */
 const MAX_ANNOUNCED_VMS = 32
-/** After the change is known, every earlier lease and token has ended within this time. */
+/** Time after the confirmation of a new version within which every earlier lease and token expires. */
 export const TAKEOVER_WAIT_MS = (LEASE_MS + TOKEN_LIFETIME_MS) * (1 + 2 * MAX_CLOCK_DRIFT_FRACTION)
 
-/** When this VM began to count a share; `undefined` while it may not. */
+/** When this VM began to count the share; `undefined` while it may not count it. */
 export function findCountingStartMs (state: OwnershipState, share: string, nowMs: number): number | undefined {
   const localShare = state.localShares.get(share)
   if (localShare === undefined || localShare.handover !== null) return undefined
@@ -26,7 +26,11 @@
   return localShare.readyAtMs
 }
 
-/** Takes in a version of the owners object; older ones change nothing. */
+/**
+ * Adopts a version of the owners object if it is newer than the known one.
+ *
+ * @returns the names of the shares that this VM lost, and the effects to run
+ */
 export function applyOwners (state: OwnershipState, owners: VersionedOwners, nowMs: number): { lost: string[], effects: LimitEffect[] } {
   if (state.owners !== null && owners.version <= state.owners.version) return { lost: [], effects: [] }
   state.owners = owners
@@ -40,7 +44,7 @@
   const effects: LimitEffect[] = []
   if (lost.length + gainedCount > 0) {
     state.isBalanced = false
-    effects.push({ type: 'log', message: 'limit shares changed', fields: { version: owners.version, gained: gainedCount, lost: lost.length, held: state.localShares.size } })
+    effects.push({ type: 'log', message: 'limit shares of this VM changed', fields: { version: owners.version, gained: gainedCount, lost: lost.length, held: state.localShares.size } })
   }
   if (state.localShares.size > 0) effects.push(...startProofRound(state, nowMs))
   return { lost, effects }
@@ -73,7 +77,10 @@
   return gainedCount
 }
 
-/** Brings what this VM has just written to the witnesses and to those that gain shares, ahead of the configuration's watch. */
+/**
+ * Sends the version that this VM has just written to the witnesses and to the VMs that gain shares, which would learn of it
+ * later from the configuration's watch. Call it before `applyOwners` with that version.
+ */
 export function publishOwners (state: OwnershipState, owners: VersionedOwners): LimitEffect[] {
   const affectedVms = new Set(owners.value.witnesses)
   for (const [name, { vm, epoch }] of Object.entries(owners.value.shares)) {
@@ -84,17 +91,22 @@
   return recipients.map(vm => ({ type: 'send', vm, body: { type: 'owners-update', owners } }))
 }
 
-/** Stops counting a share for good, so that it can be given to another VM once its tokens have ended. */
+/** Stops counting a share, so that it can be assigned to another VM once its granted tokens have expired. */
 export function stopCounting (localShare: LocalShare, nowMs: number): void {
   localShare.handover ??= { grantsExpireAtMs: computeGrantExpiryMs(nowMs), wasReady: localShare.readyAtMs <= nowMs, uncertainBaseVersion: null }
 }
 
+/** True when this VM needs a majority of the previous witnesses to know the current version: to count new shares or to write. */
 function isConfirmationNeeded (state: OwnershipState): boolean {
   if (state.owners === null || state.confirmedVersion >= state.owners.version) return false
   return state.isWriteDue || [...state.localShares.values()].some(localShare => localShare.readyAtMs === Infinity)
 }
 
-/** Asks every witness, this VM included, which version it knows. */
+/**
+ * Sends a proof request to every witness, and to the previous witnesses while the version needs their confirmation.
+ *
+ * This VM's version is recorded without a message once it may act as a witness.
+ */
 function startProofRound (state: OwnershipState, nowMs: number): LimitEffect[] {
   const { owners, self } = state
   if (owners === null || owners.version === 0) return []
@@ -107,7 +119,7 @@
   return [...witnesses].map(vm => ({ type: 'send', vm, body: { type: 'proof-request', nonce, version: owners.version } }))
 }
 
-/** Answers as a witness. A process that has not yet read the object service itself stays silent. */
+/** Responds as a witness. A process that has not yet read the owners object from the object service does not respond. */
 export function handleProofRequest (state: OwnershipState, from: VmProcess, request: { nonce: number, version: number }): LimitEffect[] {
   const { owners } = state
   if (!state.hasReadOwners || owners === null) return []
@@ -116,7 +128,7 @@
   return [{ type: 'send', vm: from.vm, body: newer === undefined ? reply : { ...reply, newer } }]
 }
 
-/** Counts a witness's answer to the current round. */
+/** Records a witness's reply to the current proof round; sends the owners object to a witness that knows an older version. */
 export function handleProofReply (state: OwnershipState, vm: string, reply: { nonce: number, version: number }, nowMs: number): LimitEffect[] {
   const { proofRound, owners } = state
   if (proofRound === null || owners === null || proofRound.nonce !== reply.nonce) return []
@@ -125,6 +137,7 @@
   return reply.version < owners.version ? [{ type: 'send', vm, body: { type: 'owners-update', owners } }] : []
 }
 
+/** Renews the lease when a majority of the witnesses knows no newer version, and records the version once it is confirmed. */
 function checkProofRound (state: OwnershipState, nowMs: number): void {
   const { proofRound, owners } = state
   if (proofRound === null || owners === null || proofRound.version !== owners.version) return
@@ -139,9 +152,10 @@
 }
 
 /**
- * True when no VM that knows only older versions can find a majority any more.
+ * True when a VM that knows only older versions can no longer get the confirmation of a majority of witnesses.
  *
- * Where a majority of the previous witnesses has left the platform's list, all those still on it must know the version.
+ * A majority of the previous witnesses must know the version. If so many of them have left the platform's list that the rest
+ * is no majority, all those still on the list must know it.
  */
 function isConfirmed ({ proofRound, owners, listed }: OwnershipState): boolean {
   if (proofRound === null || owners === null) return false
@@ -153,6 +167,7 @@
   return listedWitnesses.length < countMajority(previousWitnesses) && listedWitnesses.every(hasVersion)
 }
 
+/** Records the known version as confirmed. Shares gained by it may be counted after `TAKEOVER_WAIT_MS`. */
 function recordConfirmed (state: OwnershipState, nowMs: number): void {
   if (state.owners === null || state.confirmedVersion >= state.owners.version) return
   state.confirmedVersion = state.owners.version
@@ -162,7 +177,7 @@
   }
 }
 
-/** Begins the rounds and reads that are due. */
+/** Starts the reads, requests for the list of VMs and proof rounds that are due. */
 export function tickOwnership (state: OwnershipState, nowMs: number): LimitEffect[] {
   const effects: LimitEffect[] = []
   if (state.needsRead && !state.isReading && nowMs >= state.retryAtMs) {
@@ -183,12 +198,12 @@
   return effects
 }
 
-/** Before there are owners, the platform's list says which VMs are still to join; infinite afterwards. */
+/** When the list of VMs is due that says which VMs have yet to join before the first assignment; infinite once the owners object exists. */
 function computeInitialVmListMs ({ owners, nextVmListAtMs }: OwnershipState): number {
   return owners?.version === 0 ? nextVmListAtMs : Infinity
 }
 
-/** When the next round is due; infinite for a VM that neither owns nor wants anything. */
+/** When the next proof round is due; infinite for a VM that owns no share and has nothing to write. */
 function computeNextRoundMs (state: OwnershipState): number {
   const isUrgent = isConfirmationNeeded(state) || isLeaseRenewalMissing(state)
   if (!isUrgent && state.localShares.size === 0) return Infinity
@@ -197,17 +212,18 @@
   return state.proofRound.sentAtMs + (isUrgent ? URGENT_ROUND_INTERVAL_MS : LEASE_RENEWAL_INTERVAL_MS)
 }
 
-/** True when the last round did not renew the lease. */
+/** True when the last proof round has not renewed the lease. */
 function isLeaseRenewalMissing (state: OwnershipState): boolean {
   return state.localShares.size > 0 && state.proofRound !== null && state.leaseUntilMs < state.proofRound.sentAtMs + LEASE_MS
 }
 
+/** When `tickOwnership` next has something to do; infinite when nothing is scheduled. */
 export function computeOwnershipWakeMs (state: OwnershipState): number {
   const readMs = state.needsRead && !state.isReading ? state.retryAtMs : Infinity
   return Math.min(readMs, computeInitialVmListMs(state), computeNextRoundMs(state))
 }
 
-/** Takes in the object as this process itself read it; `null` while it does not exist. */
+/** Adopts the owners object that this process read from the object service; `null` when it does not exist. */
 export function handleOwnersRead (state: OwnershipState, owners: VersionedOwners | null, nowMs: number): { lost: string[], effects: LimitEffect[] } {
   state.isReading = false
   state.needsRead = false
--- a/packages/proxy/src/limits/shares.ts
+++ b/packages/proxy/src/limits/shares.ts
@@ -1,17 +1,17 @@
 import { hashName, hashPair, type Rate } from '@camphorpitch/wire'
 import type { Member } from '../membership/membership-view.ts'
 
-/** Groups of workspaces whose shares move together. */
+/** Number of groups of workspaces; the shares of all workspaces in a group move between VMs together. */
 export const PARTITION_COUNT = 64
-/** Shares of a workspace's rate, counted by different VMs. */
+/** Largest number of shares that a workspace's rate is divided into, so that different VMs can count them. */
 export const SHARES_PER_PARTITION = 3
-/** Smallest burst of a share; workspaces with less than `SHARE_COUNT` times this have one share. */
+/** Smallest burst of a share; a workspace whose burst is below `SHARES_PER_PARTITION` times this has one share. */
 const MIN_SHARE_BURST = 8
 export const MAX_WITNESSES = 9
-/** Time after which every owner counts by a new division. */
+/** Time after which every owner uses a changed number of shares. */
 const SHARE_COUNT_CHANGE_DELAY_MS = 10_000
 
-/** One share's part of a workspace's rate. */
+/** The rate and burst of one share of a workspace. */
 export interface ShareRate {
   /** Name of the share in the owners object. */
   name: string
@@ -20,19 +20,23 @@
   burst: number
 }
 
-/** A workspace's rate, divided into shares. A change of rate makes a new one. */
+/** A workspace's rate, divided into shares. Each change of the rate creates a new object. */
 export interface WorkspaceLimit {
   shares: ShareRate[]
-  /** Set when the number of shares changed: until then, no share may exceed what it was before. */
+  /** Set when the number of shares changed: until `untilMs`, no share may exceed its previous rate and burst. */
   shareCountChange: { previous: ShareRate[], untilMs: number } | null
 }
 
-/** @example formatShare(7, 2) // 'p7-2' */
+/**
+ * Returns the name of a share in the owners object.
+ *
+ * @example formatShare(7, 2) // 'p7-2'
+ */
 export function formatShare (partition: number, index: number): string {
   return `p${partition}-${index}`
 }
 
-/** Which of a workspace's shares a name means. */
+/** Returns the index of a share within its partition, from a name that `formatShare` returned. */
 export function parseShareIndex (name: string): number {
   return Number(name.slice(name.lastIndexOf('-') + 1))
 }
@@ -41,7 +45,11 @@
   return hashName(workspace) % PARTITION_COUNT
 }
 
-/** Divides a rate into shares whose sums are the whole. */
+/**
+ * Divides a rate into shares whose rates and bursts add up to the whole.
+ *
+ * @param previousLimit the limit that this one replaces; `undefined` for a new workspace
+ */
 export function createWorkspaceLimit (workspace: string, rate: Rate, previousLimit: WorkspaceLimit | undefined, nowMs: number): WorkspaceLimit {
   const partition = computePartition(workspace)
   const count = rate.burst >= SHARES_PER_PARTITION * MIN_SHARE_BURST ? SHARES_PER_PARTITION : 1
@@ -57,7 +65,7 @@
   return { shares, shareCountChange: { previous, untilMs: nowMs + SHARE_COUNT_CHANGE_DELAY_MS } }
 }
 
-/** What a share may count now; `undefined` for a share that does not exist, or not yet. */
+/** The rate and burst that a share may use now; `undefined` for a share that does not exist, or not yet. */
 export function findShareRate ({ shares, shareCountChange }: WorkspaceLimit, index: number, nowMs: number): ShareRate | undefined {
   const share = shares[index]
   if (share === undefined || shareCountChange === null || nowMs >= shareCountChange.untilMs) return share
@@ -66,7 +74,7 @@
   return { ...share, rate: Math.min(share.rate, previousShare.rate), burst: Math.min(share.burst, previousShare.burst) }
 }
 
-/** The members in rendezvous order, the best for `key` first. */
+/** Sorts the members by rendezvous hashing, the highest score for `key` first. */
 export function listByRendezvous (key: string, members: readonly Member[]): Member[] {
   const keyHash = hashName(key)
   const scored = members.map(member => ({ member, score: hashPair(keyHash, hashName(member.vm)) }))
@@ -74,7 +82,7 @@
   return scored.map(s => s.member)
 }
 
-/** Picks up to `count` members in rendezvous order, failure domains not yet used first. */
+/** Picks up to `count` members in rendezvous order, preferring the failure domains with the fewest picks so far. */
 export function pickAcrossDomains (key: string, members: readonly Member[], count: number): Member[] {
   const remaining = listByRendezvous(key, members)
   const picksByDomain = new Map<string, number>()
@@ -100,7 +108,11 @@
   return bestIndex
 }
 
-/** The best few members of each failure domain; a choice among them equals one among all. */
+/**
+ * The `SHARES_PER_PARTITION` members with the highest rendezvous scores of each failure domain.
+ *
+ * No partition has more owners than that, so picking from these gives the same owners as picking from all members.
+ */
 function listTopMembersPerDomain (keyHash: number, domains: ReadonlyArray<readonly Member[]>): Member[] {
   const topMembers: Member[] = []
   for (const members of domains) {
@@ -117,7 +129,7 @@
   return topMembers
 }
 
-/** The member that should own each share; fewer members than shares own several. */
+/** The member that should own each share, by share name. With fewer members than shares, a member owns several. */
 export function computeTargetOwners (members: readonly Member[]): Map<string, Member> {
   const targets = new Map<string, Member>()
   const domains = new Map<string, Member[]>()
@@ -131,7 +143,7 @@
   return targets
 }
 
-/** Keeps the witnesses that are still members and fills up. */
+/** Keeps the witnesses that are still members and adds others up to `MAX_WITNESSES`. */
 export function pickWitnesses (currentWitnesses: readonly string[], members: readonly Member[]): string[] {
   const keptWitnesses = currentWitnesses.filter(vm => members.some(m => m.vm === vm))
   const candidates = pickAcrossDomains('witness', members, members.length).filter(m => !keptWitnesses.includes(m.vm))
--- a/packages/proxy/src/limits/spender-state.ts
+++ b/packages/proxy/src/limits/spender-state.ts
@@ -1,35 +1,40 @@
 import type { DemandItem } from './messages.ts'
 import type { ShareRate, WorkspaceLimit } from './shares.ts'
 
-/** Tokens that this VM may spend. */
+/** A grant of an owner whose tokens this VM may spend. */
 export interface HeldGrant {
   id: number
   owner: string
   ownerIncarnation: number
+  /** Index of the share within the workspace. */
   share: number
+  /** Tokens that can still be spent; 0 once the grant has expired. */
   left: number
   spent: number
   expiresAtMs: number
   lastSpentAtMs: number
 }
 
-/** What this VM believes of one share. */
+/** This VM's estimate of the tokens of one share, from its owner's last response. */
 export interface ShareEstimate {
   rate: ShareRate
+  /** Tokens that the owner had at `asOfMs`; the full burst before its first response. */
   available: number
   asOfMs: number
-  /** Tokens asked for and not yet answered. */
+  /** Tokens for waiting requests in demands that have not been responded to. */
   inFlight: number
-  /** The share is not asked before this, unless another VM owns it by then. */
+  /** No tokens are requested from the share before this time, unless a VM other than `blockedOwner` owns it by then. */
   blockedUntilMs: number
   blockedOwner: string | undefined
 }
 
+/** An admission request that waits for a token. */
 export interface WaitingRequest {
   requestId: number
   deadlineMs: number
 }
 
+/** The spender's state of one workspace. */
 export interface WorkspaceState {
   workspace: string
   limit: WorkspaceLimit
@@ -37,27 +42,30 @@
   /** Earliest expiry first. */
   grants: HeldGrant[]
   waiting: WaitingRequest[]
+  /** Tokens for expected requests in demands that have not been responded to. */
   prefetchInFlight: number
   /** Decaying average of arrivals, in requests per millisecond. */
   demandPerMs: number
   lastArrivalAtMs: number
 }
 
+/** A demand that has been sent and not yet responded to. */
 export interface PendingDemand {
   owner: string
   sentAtMs: number
   items: DemandItem[]
-  /** No longer waited for; a late answer is still of use. */
+  /** True once the reply timeout has passed. Tokens of a late response are still used. */
   isOverdue: boolean
 }
 
-/** Traffic to one owner. */
+/** Demand items and reports to be sent to one owner. */
 export interface OwnerLink {
   owner: string
+  /** Incarnation of the owner in its last response; 0 before the first. */
   incarnation: number
   lastFlushAtMs: number
   items: DemandItem[]
-  /** Grants whose report is out of date, by grant. */
+  /** Grants whose use has changed since the last report, by grant id. */
   unreported: Map<number, HeldGrant>
   reportDueAtMs: number
 }
@@ -70,10 +78,11 @@
   links: Map<string, OwnerLink>
   /** Links with something to send. */
   linksToFlush: Set<OwnerLink>
+  /** Keyed by the demand's `seq`. */
   pending: Map<number, PendingDemand>
   nextSeq: number
   lastSweepAtMs: number
-  /** No later than the next time at which something is due. */
+  /** When the next tick is needed, or earlier. */
   wakeAtMs: number
 }
 
@@ -93,7 +102,7 @@
   return { rate, available: rate.burst, asOfMs: nowMs, inFlight: 0, blockedUntilMs: -Infinity, blockedOwner: undefined }
 }
 
-/** The workspace's state, with its shares as the contract divides them now. */
+/** Returns the workspace's state, with its shares updated to `limit`. */
 export function findOrCreateWorkspaceState (state: SpenderState, workspace: string, limit: WorkspaceLimit, nowMs: number): WorkspaceState {
   const existing = state.workspaces.get(workspace)
   if (existing?.limit === limit) return existing
@@ -112,11 +121,12 @@
   return existing
 }
 
-/** Makes sure that a tick comes by then. */
+/** Ensures that the next tick comes no later than `atMs`. */
 export function scheduleTick (state: SpenderState, atMs: number): void {
   if (atMs < state.wakeAtMs) state.wakeAtMs = atMs
 }
 
+/** Tokens requested for waiting requests of the workspace, over all shares. */
 export function countInFlight (workspaceState: WorkspaceState): number {
   return workspaceState.shares.reduce((sum, share) => sum + share.inFlight, 0)
 }
--- a/packages/proxy/src/limits/spender.ts
+++ b/packages/proxy/src/limits/spender.ts
@@ -7,26 +7,31 @@
   countInFlight, findOrCreateLink, findOrCreateWorkspaceState, scheduleTick, type HeldGrant, type OwnerLink, type PendingDemand, type ShareEstimate, type SpenderState, type WorkspaceState
 } from './spender-state.ts'
 
-/** Longest time a request waits for its admission. */
+/** Longest time that a request waits for its admission. */
 export const MAX_ADMISSION_WAIT_MS = 100
+/** Time after which an owner that has not responded to a demand counts as unresponsive. */
 const REPLY_TIMEOUT_MS = 60
-/** A share whose owner does not answer is left alone this long. */
+/** How long no tokens are requested from a share whose owner did not respond. */
 const UNRESPONSIVE_OWNER_BLOCK_MS = 200
 /** Shortest time between two demands to one owner. */
 const MIN_FLUSH_INTERVAL_MS = 2
+/** Time constant of the decaying average of a workspace's demand. */
 const DEMAND_AVERAGE_WINDOW_MS = 500
-/** Demand that one grant covers, and below which the next is asked for. */
+/** A prefetch requests tokens for the demand expected in this time. */
 const PREFETCH_HORIZON_MS = 120
+/** Tokens are prefetched when those at hand cover the expected demand for no longer than this. */
 const PREFETCH_THRESHOLD_MS = 40
-/** Reports are due within this part of the time in which the burst refills. */
+/** A report is due within this fraction of the time in which the share's burst refills. */
 const REPORT_DELAY_FRACTION = 0.1
 const MIN_REPORT_DELAY_MS = 5
 const MAX_REPORT_DELAY_MS = 200
+/** The state of a workspace without requests for this long is dropped. */
 const IDLE_TIMEOUT_MS = 60_000
 const SWEEP_INTERVAL_MS = 10_000
+/** Retry delay of a refusal when no owner has given one. */
 const NO_RESPONSE_RETRY_AFTER_MS = 200
 
-/** Facts that the spender takes from its surroundings. */
+/** Look-ups that the spender needs from the rest of the limits state. */
 export interface SpenderContext {
   findLimit: (workspace: string) => WorkspaceLimit | undefined
   /** The VM that owns a share. */
@@ -39,7 +44,11 @@
   timeoutMs: number
 }
 
-/** Admits from tokens at hand, refuses what surely has none, and asks an owner otherwise. */
+/**
+ * Admits the request from tokens at hand; otherwise it waits for tokens from an owner.
+ *
+ * Refuses at once when the workspace has no contract, and when no tokens are in flight and no share is worth requesting from.
+ */
 export function handleAdmit (state: SpenderState, context: SpenderContext, request: AdmitRequest, nowMs: number): LimitEffect[] {
   const { requestId, workspace } = request
   const limit = context.findLimit(workspace)
@@ -61,13 +70,14 @@
   return { type: 'resolve', requestId, admission }
 }
 
+/** Updates the average demand of the workspace. */
 function recordArrival (workspaceState: WorkspaceState, nowMs: number): void {
   const decay = Math.exp((workspaceState.lastArrivalAtMs - nowMs) / DEMAND_AVERAGE_WINDOW_MS)
   workspaceState.demandPerMs = workspaceState.demandPerMs * decay + 1 / DEMAND_AVERAGE_WINDOW_MS
   workspaceState.lastArrivalAtMs = nowMs
 }
 
-/** Spends one token that is still valid at this very moment. */
+/** Spends one token that has not expired; returns false when there is none. */
 function spendToken (state: SpenderState, workspaceState: WorkspaceState, nowMs: number): boolean {
   dropExpiredGrants(state, workspaceState, nowMs)
   const grant = workspaceState.grants[0]
@@ -103,7 +113,7 @@
   scheduleTick(state, computeFlushMs(link))
 }
 
-/** Asks for tokens before they are needed when demand is high enough for that. */
+/** Requests tokens ahead of need when the expected demand is at least one token within the prefetch horizon. */
 function requestPrefetch (state: SpenderState, context: SpenderContext, workspaceState: WorkspaceState, nowMs: number): void {
   const wantedTokens = Math.floor(workspaceState.demandPerMs * PREFETCH_HORIZON_MS)
   if (wantedTokens < 1 || workspaceState.prefetchInFlight > 0) return
@@ -113,7 +123,7 @@
   if (index !== undefined) addDemand(state, context, workspaceState, index, 0, wantedTokens - heldTokens)
 }
 
-/** Asks for a token for each waiting request, or refuses them when no share may be asked. */
+/** Requests a token for each waiting request, or refuses all of them when none is in flight and no share can be chosen. */
 function requestTokens (state: SpenderState, context: SpenderContext, workspaceState: WorkspaceState, nowMs: number): LimitEffect[] {
   let missingTokens = workspaceState.waiting.length - countInFlight(workspaceState)
   while (missingTokens > 0) {
@@ -132,7 +142,13 @@
   return refused.map(w => resolveRequest(w.requestId, { admitted: false, retryAfterMs, reason: 'rate' }))
 }
 
-/** The share with the most tokens as far as is known; `undefined` when none is worth asking. */
+/**
+ * The index of the share that is estimated to have the most tokens.
+ *
+ * A share is left out when it has no owner, when it is blocked, and when the tokens in flight already exhaust it.
+ *
+ * @returns `undefined` when no share is left
+ */
 function pickShare (context: SpenderContext, workspaceState: WorkspaceState, nowMs: number): number | undefined {
   let bestIndex: number | undefined
   let bestEstimate = -Infinity
@@ -176,7 +192,7 @@
   queued.extra += extra
 }
 
-/** Takes in an owner's answer; one that was not asked for, or was answered before, changes nothing. */
+/** Applies an owner's response to a demand. One without a pending demand, or for another incarnation of this VM, changes nothing. */
 export function handleGrants (
   state: SpenderState, context: SpenderContext, from: { vm: string, incarnation: number }, message: Grants, nowMs: number
 ): LimitEffect[] {
@@ -242,7 +258,11 @@
   return effects
 }
 
-/** Expires grants, ends waits, and sends the demands and reports that are due. */
+/**
+ * Times out demands, drops expired grants, refuses requests whose wait has ended, and drops the state of idle workspaces.
+ *
+ * Demands and reports that are due are sent by `flushSpender`.
+ */
 export function tickSpender (state: SpenderState, context: SpenderContext, nowMs: number): LimitEffect[] {
   const effects: LimitEffect[] = []
   for (const [seq, pending] of state.pending) effects.push(...checkPendingDemand(state, context, seq, pending, nowMs))
@@ -282,7 +302,7 @@
   }
 }
 
-/** Sends what is due to each owner. */
+/** Sends the demands and reports that are due to each owner. */
 export function flushSpender (state: SpenderState, nowMs: number): LimitEffect[] {
   const effects: LimitEffect[] = []
   for (const link of state.linksToFlush) {
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -19,7 +19,7 @@
   maxConnectionsPerVm: 10
 }
 
-/** Holds one contract; knows no owners, so that the limiters learn them from the service and each other. */
+/** Holds one contract and no owners object, so that the limiters learn of owners from the object service and each other. */
 class FixedConfiguration extends ConfigurationView {
   override findContract (workspace: string): Contract | undefined { return workspace === contract.workspace ? contract : undefined }
   override findKeyRing (): undefined {}
@@ -83,7 +83,7 @@
   return vms.reduce((sum, vm) => sum + count(vm), 0)
 }
 
-/** Asks again whenever it is told to. */
+/** Repeats the request after each refusal's `retryAfterMs` until it is admitted. */
 async function waitUntilAdmitted (limiter: RunningLimiter): Promise<void> {
   for (;;) {
     const admission = await limiter.admit(contract.workspace, 1_000)
@@ -97,7 +97,7 @@
 }
 
 describe('startLimiter', () => {
-  it('counts over real links, refuses at once what is over the burst, and hands its shares over', async () => {
+  it('counts over real connections, refuses what exceeds rate and burst, and hands its shares over when it stops', async () => {
     const clock = new MonotonicClock()
     const platform = await startPlatform({ port: 0, controlPort: 0 })
     const membership = new FixedMembership()
--- a/packages/proxy/src/limits/start-limiter.ts
+++ b/packages/proxy/src/limits/start-limiter.ts
@@ -11,7 +11,7 @@
 const SLICE = 'limits'
 const OWNERS_KIND = 'limit-owners'
 const OWNERS_NAME = 'owners'
-/** Longest time that a planned stop waits for its shares to be taken over. */
+/** Longest time that a planned stop waits for this VM's shares to be taken over. */
 const STOP_TIMEOUT_MS = 3_000
 
 export interface LimiterOptions {
@@ -25,15 +25,19 @@
   self: { vm: string, incarnation: number, failureDomain: string }
 }
 
-/** A running limiter; `readState` serves metrics. */
+/** A running limiter; `readState` exposes its state for monitoring and tests. */
 export abstract class RunningLimiter extends Limiter {
   abstract readState (): LimitState
-  /** Hands this VM's shares over; resolves when that is done or took too long. Requests are still answered meanwhile. */
+  /**
+   * Hands this VM's shares over. Resolves when that is done or has timed out.
+   *
+   * Requests are still decided meanwhile; those still waiting at the end are refused.
+   */
   abstract stop (): Promise<void>
 }
 
 /**
- * Starts the limits slice: this VM counts requests with the others, owns shares and is a witness.
+ * Starts the limits slice: this VM counts requests together with the other VMs, owns shares and acts as a witness.
  *
  * @example
  * const limiter = startLimiter({ system, clock, logger, peers, membership, configuration, objectClient, self })
@@ -149,7 +153,7 @@
   #resolveRequest (requestId: number, admission: Admission): void {
     const resolve = this.#requests.get(requestId)
     this.#requests.delete(requestId)
-    this.#options.logger.debug('limit decided', { requestId, ...admission })
+    this.#options.logger.debug('admission decided', { requestId, ...admission })
     resolve?.(admission)
   }
 
@@ -169,7 +173,7 @@
       const stored = await this.#options.objectClient.findObject(OWNERS_KIND, OWNERS_NAME)
       this.#actor.tell({ type: 'owners-read', owners: stored === null ? null : parseOwners(stored) })
     } catch (error) {
-      this.#options.logger.debug('limit owners not read', { error: String(error) })
+      this.#options.logger.debug('reading limit owners failed', { error: String(error) })
       this.#actor.tell({ type: 'read-failed' })
     }
   }
@@ -179,7 +183,7 @@
       const { vms } = await this.#options.objectClient.listVms()
       this.#actor.tell({ type: 'listed', vms: vms.map(v => v.vm) })
     } catch (error) {
-      this.#options.logger.debug('VMs not listed', { error: String(error) })
+      this.#options.logger.debug('listing VMs for limits failed', { error: String(error) })
     }
   }
 
@@ -192,7 +196,7 @@
       const stored = await this.#options.objectClient.writeObject(OWNERS_KIND, OWNERS_NAME, version, value)
       return { outcome: 'written', owners: parseOwners(stored) }
     } catch (error) {
-      this.#options.logger.warn('limit owners not written', { version, error: String(error) })
+      this.#options.logger.warn('writing limit owners failed', { version, error: String(error) })
       if (error instanceof ConflictError) return { outcome: 'conflict' }
       const isUnchanged = error instanceof PlatformError && !(error instanceof UnknownOutcomeError)
       return { outcome: isUnchanged ? 'failed' : 'unknown' }
--- a/packages/proxy/src/limits/virtual-fleet.ts
+++ b/packages/proxy/src/limits/virtual-fleet.ts
@@ -10,7 +10,7 @@
   run: () => void
 }
 
-/** Binary heap of events under a virtual clock. */
+/** Events under a virtual clock, in a binary heap ordered by time. */
 class EventQueue {
   readonly #heap: ScheduledEvent[] = []
   #order = 0
@@ -67,30 +67,36 @@
 
 /** Faults of the links between VMs. */
 export interface LinkFaults {
+  /** Probability that a message is lost. */
   loss: number
+  /** Probability that a message is sent twice. */
   duplication: number
-  /** Longest further delay of a message, mostly far less; it also reorders. */
+  /** Longest additional delay of a message; most delays are far shorter, so messages are also reordered. */
   extraDelayMs: number
 }
 
-/** How the object service behaves. */
+/** How the object service behaves; with `answers-lost`, most callers see a failure although the call took effect. */
 export type ServiceMode = 'up' | 'down' | 'slow' | 'answers-lost'
 
 export interface VirtualVm {
   vm: string
   failureDomain: string
   incarnation: number
-  /** Added to the virtual time to give this VM's own clock. */
+  /** Offset of this VM's clock from the virtual time. */
   clockOffsetMs: number
   /** Milliseconds of this VM's clock in a millisecond of virtual time. */
   clockSpeed: number
+  /** `null` while the VM's process does not run. */
   state: LimitState | null
+  /** Identifies the last tick scheduled; earlier ones are dropped when they are due. */
   scheduledTickId: number
   pausedUntilMs: number
+  /** Inputs received during a pause, delivered at its end. */
   pendingInputs: LimitInput[]
 }
 
 export interface AdmissionRecord {
+  /** When the request was admitted or refused. */
   atMs: number
   vm: string
   workspace: string
@@ -103,9 +109,9 @@
   vmCount: number
   rates: Record<string, Rate>
   decide?: Decide<LimitState, LimitInput, LimitEffect>
-  /** One way, between failure domains. */
+  /** One-way latency between failure domains. */
   latencyMs?: number
-  /** Largest deviation of a VM's clock speed from virtual time, as a part. */
+  /** Largest deviation of a VM's clock speed from virtual time, as a fraction. */
   clockDrift?: number
   handleSend?: (from: string, to: string, effect: Extract<LimitEffect, { type: 'send' }>) => void
 }
@@ -116,7 +122,7 @@
 const FAILURE_DETECTION_MS = 700
 const OWNERS_FORWARD_DELAY_MS = 50
 
-/** Small fakes of peers, membership and object service around the limits decision, under a virtual clock. */
+/** Runs `decideLimits` on simulated VMs under a virtual clock, with fakes of the peer network, the membership and the object service. */
 export class VirtualFleet {
   readonly queue = new EventQueue()
   readonly random: () => number
@@ -124,10 +130,10 @@
   readonly records: AdmissionRecord[] = []
   readonly links: LinkFaults = { loss: 0, duplication: 0, extraDelayMs: 0 }
   service: ServiceMode = 'up'
-  /** Groups of VMs that do not reach each other; no entry means group 0. */
+  /** Group of each VM; VMs of different groups cannot reach each other. No entry means group 0. */
   readonly groups = new Map<string, number>()
   readonly disconnectedFromService = new Set<string>()
-  /** VMs that the others wrongly take for dead. */
+  /** VMs that the others wrongly consider dead. */
   readonly suspected = new Set<string>()
   owners: { version: number, value: LimitOwners } | null = null
   readonly #options: VirtualFleetOptions
@@ -157,7 +163,7 @@
     return added
   }
 
-  /** Starts the VM's process with an empty memory. */
+  /** Starts the VM's process, with no state of an earlier process. */
   startVm (vm: VirtualVm): void {
     vm.incarnation += 1
     vm.state = createLimitState({ vm: vm.vm, incarnation: vm.incarnation }, this.readClock(vm))
@@ -169,7 +175,7 @@
     this.#forwardOwners(vm)
   }
 
-  /** Configuration brings a new process what its peers know, also while the service is down. */
+  /** Gives a new process the owners object that a peer knows, as the configuration does, also while the object service is down. */
   #forwardOwners (vm: VirtualVm): void {
     const { incarnation } = vm
     this.queue.schedule(this.queue.nowMs + OWNERS_FORWARD_DELAY_MS, () => {
@@ -194,7 +200,7 @@
     this.publishMembers()
   }
 
-  /** Asks for admission at the VM, now. */
+  /** Requests admission at the VM now; does nothing while its process does not run. */
   admit (vm: VirtualVm, workspace: string, resolve?: (admission: Admission) => void): void {
     const requestId = this.#nextRequestId++
     if (vm.state === null) return
@@ -202,14 +208,14 @@
     this.deliver(vm, { type: 'admit', requestId, workspace, timeoutMs: 10_000 })
   }
 
-  /** Delivers an input, or keeps it for the end of the VM's pause. */
+  /** Delivers an input to the VM, or at the end of its pause; dropped while its process does not run. */
   deliver (vm: VirtualVm, input: LimitInput): void {
     if (vm.state === null) return
     if (this.queue.nowMs < vm.pausedUntilMs) vm.pendingInputs.push(input)
     else this.#decide(vm, input)
   }
 
-  /** Tells every VM whom it sees, after the time that detection takes. */
+  /** Sends every VM the members visible to it, after the time that failure detection takes. */
   publishMembers (): void {
     this.queue.schedule(this.queue.nowMs + FAILURE_DETECTION_MS, () => {
       for (const vm of this.vms) this.deliver(vm, { type: 'members', members: this.#listMembers(vm) })
@@ -232,7 +238,7 @@
     return (this.groups.get(a.vm) ?? 0) === (this.groups.get(b.vm) ?? 0)
   }
 
-  /** The VM's own monotonic clock, in milliseconds. */
+  /** The VM's monotonic clock, in milliseconds. */
   readClock (vm: VirtualVm): number {
     return this.queue.nowMs * vm.clockSpeed + vm.clockOffsetMs
   }
@@ -293,7 +299,7 @@
     return (from.failureDomain === to.failureDomain ? 0.5 : latencyMs) + this.random() * 0.5
   }
 
-  /** Runs `call` at the service and brings its answer back; the answer may be lost after the effect. */
+  /** Runs `call` at the object service and delivers its response, or `failure`; a response may be lost after `call` took effect. */
   #requestService (vm: VirtualVm, call: () => LimitInput, failure: LimitInput | null): void {
     const slowMs = this.service === 'slow' ? this.random() * MAX_SLOW_SERVICE_DELAY_MS : 0
     const { incarnation } = vm
@@ -317,7 +323,7 @@
     }, unknown)
   }
 
-  /** The configuration watch of each VM that reaches the service. */
+  /** Delivers the owners object to each VM that reaches the object service, as the configuration's watch does. */
   #publishOwners (): void {
     const owners = this.owners!
     for (const vm of this.vms) {
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -9,7 +9,7 @@
   endMs: number
 }
 
-/** Poisson arrivals, most of them at one VM, which changes every few seconds; the rest anywhere. */
+/** Schedules Poisson arrivals. Most of them go to one VM, which changes every `BUSY_VM_CHANGE_INTERVAL_MS`; the rest go to any VM. */
 export function startMovingLoad (fleet: VirtualFleet, { workspace, requestsPerSecond, endMs }: LoadOptions): void {
   const { queue, vms, random } = fleet
   let busyVm = vms[0]!
@@ -35,15 +35,15 @@
 export interface LoadResult {
   requests: number
   admitted: number
-  /** Requests that one exact bucket, which sees every arrival at once, would have admitted. */
+  /** Requests that a single exact bucket would have admitted, which sees every arrival without delay. */
   within: number
-  /** Requests refused although they were within the rate. */
+  /** Requests refused although the exact bucket would have admitted them. */
   wrongful: number
-  /** Longest wait for an admission, in milliseconds. */
+  /** Longest wait for a decision. */
   longestWaitMs: number
 }
 
-/** Compares a workspace's admissions with those of one exact bucket, which is full at `startMs`. */
+/** Compares a workspace's admissions from `startMs` on with those of a single exact bucket, which is full at `startMs`. */
 export function computeLoadResult (records: readonly AdmissionRecord[], workspace: string, rate: Rate, startMs: number): LoadResult {
   const workspaceRecords = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
   const ratePerMs = rate.statementsPerSecond / 1000
