--- a/packages/proxy/src/limits/ledger.ts
+++ b/packages/proxy/src/limits/ledger.ts
@@ -2,105 +2,115 @@
 import type { Demand, DemandItem, Grant, GrantReport, Grants } from './messages.ts'
 import { findShareRate, type WorkspaceLimit } from './shares.ts'
 
-/** How long a granted token may be used, from the moment its entry VM asked. */
+/** How long a granted token may be spent, counted from the time at which the entry VM sent its demand. */
 export const TOKEN_LIFETIME_MS = 250
-/** Allowance for clocks of different speed, over one lifetime or lease. */
-export const CLOCK_DRIFT = 0.01
-/** Time after a token's end in which its report may still arrive. */
+/** Largest difference in speed between two VMs' clocks that is allowed for over a token lifetime or a lease. */
+export const MAX_CLOCK_DRIFT_FRACTION = 0.01
+/** How long after a token's expiry its report may still arrive. */
 const REPORT_GRACE_MS = 300
-/** Part of the available tokens that may be granted ahead of need. */
-const PREFETCH_PART = 0.2
+/** Fraction of the available tokens that may be granted for requests that are only expected. */
+const PREFETCH_FRACTION = 0.2
 const SWEEP_INTERVAL_MS = 1_000
-/** Until a share is counted here, callers ask again after this. */
-const NOT_COUNTING_RETRY_MS = 500
+/** Retry delay sent to entry VMs while this VM does not count the share. */
+const NOT_COUNTING_RETRY_AFTER_MS = 500
 
 interface OpenGrant {
   id: number
-  /** Entry VM that holds it. */
+  /** Entry VM that holds the grant. */
   vm: string
   account: Account
+  /** Tokens not yet reported as spent. */
   left: number
   spent: number
-  /** Real time after which no token of it can be spent. */
-  endsAtMs: number
+  /** Time on this VM's clock after which none of the grant's tokens can be spent. */
+  expiresAtMs: number
 }
 
+/** The token bucket of one workspace's share. */
 interface Account {
+  /** Name of the share in the owners object. */
   share: string
   bucket: TokenBucket
 }
 
-/** What an owner knows of the shares that it counts. */
+/** An owner's buckets for the shares that it counts, and the grants that entry VMs hold. */
 export interface LedgerState {
-  /** By workspace and share index. */
+  /** Keyed by `workspace/shareIndex`. */
   accounts: Map<string, Account>
+  /** Keyed by grant id, so in order of expiry. */
   grants: Map<number, OpenGrant>
   nextGrantId: number
-  /** Highest message number seen from each entry VM. */
-  seen: Map<string, { incarnation: number, seq: number }>
-  sweptAtMs: number
+  /** Latest demand processed from each entry VM. */
+  latestDemands: Map<string, { incarnation: number, seq: number }>
+  lastSweepAtMs: number
 }
 
-/** Facts about the share that the ledger takes from its surroundings. */
+/** Look-ups that the ledger needs from the rest of the limits state. */
 export interface LedgerContext {
   findLimit: (workspace: string) => WorkspaceLimit | undefined
-  /** When counting of the share began with an empty bucket; `undefined` while it is not counted here. */
-  findCountingSince: (share: string, nowMs: number) => number | undefined
+  /** When this VM began to count the share, with an empty bucket; `undefined` while it may not count it. */
+  findCountingStartMs: (share: string, nowMs: number) => number | undefined
 }
 
 export function createLedger (): LedgerState {
-  return { accounts: new Map(), grants: new Map(), nextGrantId: 1, seen: new Map(), sweptAtMs: 0 }
+  return { accounts: new Map(), grants: new Map(), nextGrantId: 1, latestDemands: new Map(), lastSweepAtMs: 0 }
 }
 
 /**
- * Answers a demand: takes in its reports, then grants what the buckets hold.
+ * Processes a demand: applies its reports, then grants tokens from the buckets.
  *
- * @returns `undefined` for a message that was already answered or came out of order
+ * Reports are applied also from a demand that is a repeat or arrived out of order.
+ *
+ * @returns `undefined` when there is nothing to send: the demand has no items, is a repeat or arrived out of order
  */
 export function handleDemand (
-  state: LedgerState, context: LedgerContext, from: { vm: string, incarnation: number }, self: number, demand: Demand, nowMs: number
+  state: LedgerState, context: LedgerContext, from: { vm: string, incarnation: number }, localIncarnation: number, demand: Demand, nowMs: number
 ): Grants | undefined {
-  sweepLedger(state, context, nowMs)
-  if (demand.reportsFor === self) for (const r of demand.reports) applyReport(state, from.vm, r, nowMs)
-  const last = state.seen.get(from.vm)
-  const isOld = last !== undefined && (from.incarnation < last.incarnation || (from.incarnation === last.incarnation && demand.seq <= last.seq))
-  if (isOld) return undefined
-  state.seen.set(from.vm, { incarnation: from.incarnation, seq: demand.seq })
+  expireGrants(state, context, nowMs)
+  if (demand.reportsFor === localIncarnation) for (const report of demand.reports) applyReport(state, from.vm, report, nowMs)
+  const latest = state.latestDemands.get(from.vm)
+  const isStale = latest !== undefined && (from.incarnation < latest.incarnation || (from.incarnation === latest.incarnation && demand.seq <= latest.seq))
+  if (isStale) return undefined
+  state.latestDemands.set(from.vm, { incarnation: from.incarnation, seq: demand.seq })
   if (demand.items.length === 0) return undefined
-  const items = demand.items.map(i => grantTokens(state, context, from.vm, i, nowMs))
+  const items = demand.items.map(item => grantTokens(state, context, from.vm, item, nowMs))
   return { type: 'grants', seq: demand.seq, incarnation: from.incarnation, items }
 }
 
 function grantTokens (state: LedgerState, context: LedgerContext, vm: string, item: DemandItem, nowMs: number): Grant {
-  const account = findAccount(state, context, item, nowMs)
+  const account = findOrCreateAccount(state, context, item, nowMs)
   const { workspace, share } = item
   if (account === undefined) {
-    return { workspace, share, id: 0, tokens: 0, available: 0, retryAfterMs: NOT_COUNTING_RETRY_MS, counting: false }
+    return { workspace, share, id: 0, tokens: 0, available: 0, retryAfterMs: NOT_COUNTING_RETRY_AFTER_MS, counting: false }
   }
   const { bucket } = account
   const available = Math.max(0, countAvailable(bucket, nowMs))
   const needed = Math.min(item.need, available)
-  const tokens = needed + Math.min(item.extra, Math.floor((available - needed) * PREFETCH_PART))
+  const tokens = needed + Math.min(item.extra, Math.floor((available - needed) * PREFETCH_FRACTION))
   const id = tokens === 0 ? 0 : openGrant(state, account, vm, item, tokens, nowMs)
-  const left = Math.max(0, countAvailable(bucket, nowMs))
-  return { workspace, share, id, tokens, available: left, retryAfterMs: left > 0 ? 0 : computeRetryAfterMs(bucket, nowMs), counting: true }
+  const availableAfter = Math.max(0, countAvailable(bucket, nowMs))
+  return { workspace, share, id, tokens, available: availableAfter, retryAfterMs: availableAfter > 0 ? 0 : computeRetryAfterMs(bucket, nowMs), counting: true }
 }
 
 function openGrant (state: LedgerState, account: Account, vm: string, item: DemandItem, tokens: number, nowMs: number): number {
   const id = state.nextGrantId++
   reserveTokens(account.bucket, tokens)
-  const endsAtMs = computeGrantsEndMs(nowMs)
-  state.grants.set(id, { id, vm, account, left: tokens, spent: 0, endsAtMs })
+  const expiresAtMs = computeGrantExpiryMs(nowMs)
+  state.grants.set(id, { id, vm, account, left: tokens, spent: 0, expiresAtMs })
   return id
 }
 
-/** The account by which a share is counted now, with the rate that holds now. */
-function findAccount (state: LedgerState, context: LedgerContext, item: DemandItem, nowMs: number): Account | undefined {
+/**
+ * Returns the share's account with its bucket set to the rate in force now.
+ *
+ * @returns `undefined` for a workspace or share without a limit, and while this VM may not count the share
+ */
+function findOrCreateAccount (state: LedgerState, context: LedgerContext, item: DemandItem, nowMs: number): Account | undefined {
   const limit = context.findLimit(item.workspace)
   const share = limit === undefined ? undefined : findShareRate(limit, item.share, nowMs)
   if (limit === undefined || share === undefined) return undefined
-  const since = context.findCountingSince(share.name, nowMs)
-  if (since === undefined) return undefined
+  const countingStartMs = context.findCountingStartMs(share.name, nowMs)
+  if (countingStartMs === undefined) return undefined
   const key = `${item.workspace}/${item.share}`
   const account = state.accounts.get(key)
   if (account !== undefined) {
@@ -108,13 +118,13 @@
     if (bucket.rate !== share.rate || bucket.burst !== share.burst) replaceRate(bucket, share.rate, share.burst, nowMs)
     return account
   }
-  const emptyAtMs = Math.max(since, limit.resplit?.untilMs ?? -Infinity)
+  const emptyAtMs = Math.max(countingStartMs, limit.shareCountChange?.untilMs ?? -Infinity)
   const created = { share: share.name, bucket: createBucket(share.rate, share.burst, Math.min(emptyAtMs, nowMs)) }
   state.accounts.set(key, created)
   return created
 }
 
-/** Applies a cumulative report; late, repeated and reordered ones change nothing. */
+/** Applies a cumulative report. Late, repeated and reordered reports change nothing. */
 function applyReport (state: LedgerState, vm: string, report: GrantReport, nowMs: number): void {
   const grant = state.grants.get(report.id)
   if (grant === undefined || grant.vm !== vm) return
@@ -123,34 +133,34 @@
   if (spent > 0) {
     grant.spent += spent
     grant.left -= spent
-    spendReserved(bucket, spent, nowMs - report.ageMs * (1 - CLOCK_DRIFT))
+    spendReserved(bucket, spent, nowMs - report.ageMs * (1 - MAX_CLOCK_DRIFT_FRACTION))
   }
   if (!report.open) releaseReserved(bucket, grant.left)
   if (!report.open || grant.left === 0) state.grants.delete(grant.id)
 }
 
-/** Takes unreported tokens as spent at their end, and forgets buckets that equal fresh ones. */
-function sweepLedger (state: LedgerState, context: LedgerContext, nowMs: number): void {
+/** Counts unreported tokens of expired grants as spent at their expiry, and drops buckets that equal newly created ones. */
+function expireGrants (state: LedgerState, context: LedgerContext, nowMs: number): void {
   for (const grant of state.grants.values()) {
-    if (grant.endsAtMs + REPORT_GRACE_MS > nowMs) break
+    if (grant.expiresAtMs + REPORT_GRACE_MS > nowMs) break
     state.grants.delete(grant.id)
-    spendReserved(grant.account.bucket, grant.left, grant.endsAtMs)
+    spendReserved(grant.account.bucket, grant.left, grant.expiresAtMs)
   }
-  if (nowMs - state.sweptAtMs < SWEEP_INTERVAL_MS) return
-  state.sweptAtMs = nowMs
+  if (nowMs - state.lastSweepAtMs < SWEEP_INTERVAL_MS) return
+  state.lastSweepAtMs = nowMs
   for (const [key, { share, bucket }] of state.accounts) {
-    const since = context.findCountingSince(share, nowMs)
-    if (since === undefined || !isFull(bucket, nowMs)) continue
-    if (since + bucket.burst / bucket.rate <= nowMs) state.accounts.delete(key)
+    const countingStartMs = context.findCountingStartMs(share, nowMs)
+    if (countingStartMs === undefined || !isFull(bucket, nowMs)) continue
+    if (countingStartMs + bucket.burst / bucket.rate <= nowMs) state.accounts.delete(key)
   }
 }
 
-/** When every token granted so far is surely spent or void. */
-export function computeGrantsEndMs (nowMs: number): number {
-  return nowMs + TOKEN_LIFETIME_MS * (1 + CLOCK_DRIFT)
+/** The time after which no token granted up to `nowMs` can be spent. */
+export function computeGrantExpiryMs (nowMs: number): number {
+  return nowMs + TOKEN_LIFETIME_MS * (1 + MAX_CLOCK_DRIFT_FRACTION)
 }
 
-/** Forgets the accounts of a share that another VM counts from now on. */
+/** Drops the accounts and grants of a share that this VM no longer owns. */
 export function dropShare (state: LedgerState, share: string): void {
   for (const [key, account] of state.accounts) if (account.share === share) state.accounts.delete(key)
   for (const grant of state.grants.values()) if (grant.account.share === share) state.grants.delete(grant.id)
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -7,15 +7,15 @@
 
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
-/** A long run sets these; see docs/decisions/limits.md. */
+/** Long runs override these through the environment; see docs/decisions/limits.md. */
 const RUNS = Number(process.env.LIMITS_RUNS ?? 1_000)
 const SEED = Number(process.env.LIMITS_SEED ?? 20_261)
 const VM_COUNT = 5
 const FIRST_FAULT_MS = 2_000
 const LAST_FAULT_MS = 4_000
 const END_MS = 16_000
-/** Clocks run this much too fast or too slow, so the bound may be exceeded by this part of the rate. */
-const CLOCK_DRIFT = 0.004
+/** Clocks run fast or slow by up to this fraction, so the bound may be exceeded by this fraction of the rate. */
+const CLOCK_DRIFT_FRACTION = 0.004
 const rates: Record<string, Rate> = {
   large: { statementsPerSecond: 20, burst: 24 },
   small: { statementsPerSecond: 2, burst: 1 }
@@ -41,26 +41,26 @@
 const scenarioArbitrary = fc.record({ seed: fc.integer(), faults: fc.array(faultArbitrary, { minLength: 1, maxLength: 3 }) })
 type Scenario = typeof scenarioArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-function setCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
+function setNetworkCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
   fleet.groups.set(vm.vm, isCut ? 1 : 0)
-  fleet.tellMembers()
+  fleet.publishMembers()
 }
 
 function setServiceCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
-  if (isCut) fleet.cutFromService.add(vm.vm)
-  else fleet.cutFromService.delete(vm.vm)
+  if (isCut) fleet.disconnectedFromService.add(vm.vm)
+  else fleet.disconnectedFromService.delete(vm.vm)
 }
 
 function setSuspected (fleet: VirtualFleet, vm: VirtualVm, isSuspected: boolean): void {
   if (isSuspected) fleet.suspected.add(vm.vm)
   else fleet.suspected.delete(vm.vm)
-  fleet.tellMembers()
+  fleet.publishMembers()
 }
 
 type FaultKind = typeof faultKinds[number]
 const doNothing = (): void => {}
 
-/** Each begins a fault and returns what ends it. */
+/** Each function starts a fault and returns a function that ends it. */
 const faultActions: Record<FaultKind, (fleet: VirtualFleet, vm: VirtualVm, fault: Fault) => () => void> = {
   pause: (fleet, vm, { durationMs }) => {
     fleet.pauseVm(vm, durationMs)
@@ -83,22 +83,22 @@
     return doNothing
   },
   stop: (fleet, vm) => {
-    fleet.tell(vm, { type: 'stop' })
+    fleet.deliver(vm, { type: 'stop' })
     return () => fleet.killVm(vm)
   },
   cut: (fleet, vm) => {
-    setCut(fleet, vm, true)
-    return () => setCut(fleet, vm, false)
+    setNetworkCut(fleet, vm, true)
+    return () => setNetworkCut(fleet, vm, false)
   },
   'cut-from-service': (fleet, vm) => {
     setServiceCut(fleet, vm, true)
     return () => setServiceCut(fleet, vm, false)
   },
   'cut-from-all': (fleet, vm) => {
-    setCut(fleet, vm, true)
+    setNetworkCut(fleet, vm, true)
     setServiceCut(fleet, vm, true)
     return () => {
-      setCut(fleet, vm, false)
+      setNetworkCut(fleet, vm, false)
       setServiceCut(fleet, vm, false)
     }
   },
@@ -128,21 +128,21 @@
   return () => { fleet.service = 'up' }
 }
 
-/** Every VM asks for far more than the rate, in clumps, so that each token is taken as soon as it can be. */
-function startCallers (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
-  const ask = (): void => {
+/** Requests far more than the rate, from random VMs and partly in batches, so that each token is taken as soon as it can be. */
+function startClients (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
+  const sendBatch = (): void => {
     const vm = fleet.vms[Math.floor(fleet.random() * fleet.vms.length)]!
-    const clump = fleet.random() < 0.1 ? 8 : 1
-    for (let i = 0; i < clump; i++) fleet.admit(vm, workspace)
-    fleet.queue.schedule(fleet.queue.nowMs - Math.log(1 - fleet.random()) * meanGapMs, ask)
+    const batchSize = fleet.random() < 0.1 ? 8 : 1
+    for (let i = 0; i < batchSize; i++) fleet.admit(vm, workspace)
+    fleet.queue.schedule(fleet.queue.nowMs - Math.log(1 - fleet.random()) * meanGapMs, sendBatch)
   }
-  ask()
+  sendBatch()
 }
 
 function runScenario ({ seed, faults }: Scenario, decide: LimitDecide): VirtualFleet {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT })
-  startCallers(fleet, 'large', 40)
-  startCallers(fleet, 'small', 250)
+  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT_FRACTION })
+  startClients(fleet, 'large', 40)
+  startClients(fleet, 'small', 250)
   for (const fault of faults) {
     fleet.queue.schedule(fault.atMs, () => {
       const end = faultActions[fault.kind](fleet, fleet.vms[fault.vm]!, fault)
@@ -153,14 +153,14 @@
   return fleet
 }
 
-/** Looks at every window that begins and ends with an admission; returns the largest excess, in requests. */
+/** Returns the largest excess over rate and burst, in requests, of all windows that begin and end with an admission. */
 function findLargestExcess (records: readonly AdmissionRecord[], workspace: string, rate = rates[workspace]!): number {
   const { statementsPerSecond, burst } = rate
   const times = records.filter(r => r.workspace === workspace && r.admission.admitted).map(r => r.atMs)
   let largest = -Infinity
   for (let i = 0; i < times.length; i++) {
     for (let j = i; j < times.length; j++) {
-      const allowed = statementsPerSecond / 1000 * (1 + CLOCK_DRIFT) * (times[j]! - times[i]!) + burst
+      const allowed = statementsPerSecond / 1000 * (1 + CLOCK_DRIFT_FRACTION) * (times[j]! - times[i]!) + burst
       largest = Math.max(largest, j - i + 1 - allowed)
     }
   }
@@ -178,36 +178,36 @@
   return fc.check(fc.property(scenarioArbitrary, scenario => checkBound(scenario, decide)), { seed: SEED, numRuns: RUNS, endOnFailure: true })
 }
 
-/** Each VM has an equal part of the rate, full at each start. */
+/** Each VM counts an equal fraction of the rate by itself, with a bucket that is full at each start. */
 const decideEqualSplit: LimitDecide = (state, input, nowMs) => {
   if (input.type !== 'admit') return { state, effects: [] }
   const rate = rates[input.workspace]!
-  const tokens = state as unknown as { naive?: Map<string, { level: number, atMs: number }> }
-  tokens.naive ??= new Map()
-  const bucket = tokens.naive.get(input.workspace) ?? { level: rate.burst / VM_COUNT, atMs: nowMs }
+  const stateWithBuckets = state as unknown as { buckets?: Map<string, { level: number, atMs: number }> }
+  stateWithBuckets.buckets ??= new Map()
+  const bucket = stateWithBuckets.buckets.get(input.workspace) ?? { level: rate.burst / VM_COUNT, atMs: nowMs }
   const refilled = bucket.level + (nowMs - bucket.atMs) * rate.statementsPerSecond / 1000 / VM_COUNT
   const level = Math.min(Math.max(1, rate.burst / VM_COUNT), refilled)
   const admitted = level >= 1
-  tokens.naive.set(input.workspace, { level: admitted ? level - 1 : level, atMs: nowMs })
+  stateWithBuckets.buckets.set(input.workspace, { level: admitted ? level - 1 : level, atMs: nowMs })
   const admission = admitted ? { admitted } as const : { admitted, retryAfterMs: 1, reason: 'rate' } as const
   return { state, effects: [{ type: 'resolve', requestId: input.requestId, admission }] }
 }
 
-/** Tokens may be spent however late they are. */
+/** Granted tokens may be spent without a time limit. */
 const decideWithoutExpiry: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
   for (const s of step.state.spender.workspaces.values()) for (const g of s.grants) g.expiresAtMs = Infinity
   return step
 }
 
-/** A new owner counts at once, whatever the old one still does. */
+/** A new owner counts at once, although the previous owner may still count. */
 const decideWithoutTakeoverWait: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
-  for (const h of step.state.ownership.held.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
+  for (const h of step.state.ownership.localShares.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
   return step
 }
 
-/** An owner counts on without its witnesses. */
+/** An owner continues to count without the confirmation of its witnesses. */
 const decideWithoutLease: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
   step.state.ownership.leaseUntilMs = Infinity
@@ -215,8 +215,8 @@
 }
 
 const CHANGE_RUNS = 300
-/** Time in which a configuration reaches every VM. */
-const SPREAD_MS = 6_000
+/** Time within which a change of the configuration reaches every VM. */
+const PROPAGATION_MS = 6_000
 const rateArbitrary: fc.Arbitrary<Rate> = fc.record({
   statementsPerSecond: fc.constantFrom(1, 5, 20, 40),
   burst: fc.constantFrom(1, 7, 10, 23, 24, 40)
@@ -227,22 +227,22 @@
 })
 type Change = { atMs: number, rate: Rate }
 
-/** Each VM learns of a change at its own time, always in order. */
+/** Delivers the changes to each VM at different times, always in order. */
 function scheduleChanges (fleet: VirtualFleet, changes: readonly Change[]): void {
   const ordered = [...changes].sort((a, b) => a.atMs - b.atMs)
   for (const vm of fleet.vms) {
     let atMs = 0
     for (const { atMs: changedAtMs, rate } of ordered) {
-      atMs = Math.max(atMs, changedAtMs + fleet.random() * SPREAD_MS)
-      fleet.queue.schedule(atMs, () => fleet.tell(vm, { type: 'rate', workspace: 'large', rate }))
+      atMs = Math.max(atMs, changedAtMs + fleet.random() * PROPAGATION_MS)
+      fleet.queue.schedule(atMs, () => fleet.deliver(vm, { type: 'rate', workspace: 'large', rate }))
     }
   }
 }
 
-/** While a change is under way, the larger rate and burst bound what is admitted. */
+/** Returns the largest excess over the largest rate and the largest burst of the run, which bound the admissions while contracts change. */
 function findChangeExcess (seed: number, changes: readonly Change[]): number {
   const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
-  startCallers(fleet, 'large', 30)
+  startClients(fleet, 'large', 30)
   scheduleChanges(fleet, changes)
   fleet.queue.runUntil(25_000)
   const all = [rates.large!, ...changes.map(c => c.rate)]
@@ -251,25 +251,25 @@
 }
 
 describe('limits under faults', () => {
-  it('never admits more than the larger rate and burst while contracts change', () => {
+  it('never admit more than the largest rate and burst while contracts change', () => {
     const property = fc.property(changeArbitrary, ({ seed, changes }) => {
       expect(findChangeExcess(seed, changes)).to.be.at.most(1e-6)
     })
     fc.assert(property, { seed: SEED, numRuns: CHANGE_RUNS })
   })
 
-  it('never admits more than rate and burst in any window over the fleet', () => {
+  it('never admit more than rate and burst over the whole fleet in any time window', () => {
     fc.assert(fc.property(scenarioArbitrary, scenario => checkBound(scenario, decideLimits)), { seed: SEED, numRuns: RUNS })
   })
 
-  const naive: Array<[string, LimitDecide]> = [
+  const unsafeVariants: Array<[string, LimitDecide]> = [
     ['an equal split that refills at a restart', decideEqualSplit],
     ['grants without expiry', decideWithoutExpiry],
     ['takeover without a wait', decideWithoutTakeoverWait],
     ['owners without a lease', decideWithoutLease]
   ]
-  for (const [name, decide] of naive) {
-    it(`sees the excess of ${name}`, () => {
+  for (const [name, decide] of unsafeVariants) {
+    it(`are found to exceed the bound with ${name}`, () => {
       expect(checkProperty(decide).failed).to.equal(true)
     })
   }
--- a/packages/proxy/src/limits/start-limiter.ts
+++ b/packages/proxy/src/limits/start-limiter.ts
@@ -4,14 +4,14 @@
 import type { MembershipView } from '../membership/membership-view.ts'
 import type { WriteResult } from './assignment.ts'
 import { createLimitState, decideLimits, type LimitInput, type LimitState } from './decide-limits.ts'
-import type { LimitEffect, Self } from './effects.ts'
+import type { LimitEffect, VmProcess } from './effects.ts'
 import { Limiter, type Admission } from './limiter.ts'
 import { limitMessageSchema, type VersionedOwners } from './messages.ts'
 
 const SLICE = 'limits'
 const OWNERS_KIND = 'limit-owners'
 const OWNERS_NAME = 'owners'
-/** Longest time that a planned stop waits for its shares to be taken over. */
+/** Longest time that a planned stop waits for this VM's shares to be taken over. */
 const STOP_TIMEOUT_MS = 3_000
 
 export interface LimiterOptions {
@@ -25,15 +25,19 @@
   self: { vm: string, incarnation: number, failureDomain: string }
 }
 
-/** A running limiter; `readState` serves metrics. */
+/** A running limiter; `readState` exposes its state for monitoring and tests. */
 export abstract class RunningLimiter extends Limiter {
   abstract readState (): LimitState
-  /** Hands this VM's shares over; resolves when that is done or took too long. Requests are still answered meanwhile. */
+  /**
+   * Hands this VM's shares over. Resolves when that is done or has timed out.
+   *
+   * Requests are still decided meanwhile; those still waiting at the end are refused.
+   */
   abstract stop (): Promise<void>
 }
 
 /**
- * Starts the limits slice: this VM counts requests with the others, owns shares and is a witness.
+ * Starts the limits slice: this VM counts requests together with the other VMs, owns shares and acts as a witness.
  *
  * @example
  * const limiter = startLimiter({ system, clock, logger, peers, membership, configuration, objectClient, self })
@@ -45,7 +49,7 @@
 
 class FleetLimiter extends RunningLimiter {
   readonly #options: LimiterOptions
-  readonly #self: Self
+  readonly #self: VmProcess
   readonly #actor: SliceActor<LimitState, LimitInput>
   readonly #requests = new Map<number, (admission: Admission) => void>()
   #nextRequestId = 1
@@ -104,32 +108,32 @@
       const message = limitMessageSchema.safeParse(body)
       if (message.success) this.#actor.tell({ type: 'peer', from: { vm: from.vm, incarnation: from.incarnation }, body: message.data })
     })
-    const tellMembers = (): void => this.#actor.tell({ type: 'members', members: [...membership.listMembers()] })
-    membership.subscribe(tellMembers)
-    tellMembers()
+    const sendMembers = (): void => this.#actor.tell({ type: 'members', members: [...membership.listMembers()] })
+    membership.subscribe(sendMembers)
+    sendMembers()
     configuration.subscribe((kind, name) => {
-      if (kind === 'contract') this.#tellRate(name)
-      if (kind === OWNERS_KIND) this.#tellOwners()
+      if (kind === 'contract') this.#sendRate(name)
+      if (kind === OWNERS_KIND) this.#sendOwners()
     })
-    for (const { workspace } of configuration.listContracts()) this.#tellRate(workspace)
-    this.#tellOwners()
+    for (const { workspace } of configuration.listContracts()) this.#sendRate(workspace)
+    this.#sendOwners()
   }
 
-  #tellRate (workspace: string): void {
+  #sendRate (workspace: string): void {
     const rate = this.#options.configuration.findContract(workspace)?.rate ?? null
     this.#actor.tell({ type: 'rate', workspace, rate })
   }
 
-  #tellOwners (): void {
+  #sendOwners (): void {
     const owners = this.#options.configuration.findLimitOwners()
     if (owners !== undefined) this.#actor.tell({ type: 'owners', owners })
   }
 
   #runEffect (effect: LimitEffect): void {
     switch (effect.type) {
-      case 'resolve': return this.#answer(effect.requestId, effect.admission)
+      case 'resolve': return this.#resolveRequest(effect.requestId, effect.admission)
       case 'send': return this.#send(effect.vm, effect)
-      case 'wake': return this.#scheduleWake(effect.atMs)
+      case 'wake': return this.#scheduleTick(effect.atMs)
       case 'read-owners': this.#readOwners().catch(this.#logUnexpected)
         break
       case 'list-vms': this.#listVms().catch(this.#logUnexpected)
@@ -146,10 +150,10 @@
     this.#options.logger.error('limits effect failed', { error: String(error) })
   }
 
-  #answer (requestId: number, admission: Admission): void {
+  #resolveRequest (requestId: number, admission: Admission): void {
     const resolve = this.#requests.get(requestId)
     this.#requests.delete(requestId)
-    this.#options.logger.debug('limit decided', { requestId, ...admission })
+    this.#options.logger.debug('admission decided', { requestId, ...admission })
     resolve?.(admission)
   }
 
@@ -158,7 +162,7 @@
     else this.#options.peers.send(vm, SLICE, body)
   }
 
-  #scheduleWake (atMs: number): void {
+  #scheduleTick (atMs: number): void {
     clearTimeout(this.#timer)
     const delayMs = Math.max(0, Math.ceil(atMs - this.#options.clock.readNow()))
     this.#timer = setTimeout(() => this.#actor.tell({ type: 'tick' }), delayMs)
@@ -169,7 +173,7 @@
       const stored = await this.#options.objectClient.findObject(OWNERS_KIND, OWNERS_NAME)
       this.#actor.tell({ type: 'owners-read', owners: stored === null ? null : parseOwners(stored) })
     } catch (error) {
-      this.#options.logger.debug('limit owners not read', { error: String(error) })
+      this.#options.logger.debug('reading limit owners failed', { error: String(error) })
       this.#actor.tell({ type: 'read-failed' })
     }
   }
@@ -179,7 +183,7 @@
       const { vms } = await this.#options.objectClient.listVms()
       this.#actor.tell({ type: 'listed', vms: vms.map(v => v.vm) })
     } catch (error) {
-      this.#options.logger.debug('VMs not listed', { error: String(error) })
+      this.#options.logger.debug('listing VMs for limits failed', { error: String(error) })
     }
   }
 
@@ -192,7 +196,7 @@
       const stored = await this.#options.objectClient.writeObject(OWNERS_KIND, OWNERS_NAME, version, value)
       return { outcome: 'written', owners: parseOwners(stored) }
     } catch (error) {
-      this.#options.logger.warn('limit owners not written', { version, error: String(error) })
+      this.#options.logger.warn('writing limit owners failed', { version, error: String(error) })
       if (error instanceof ConflictError) return { outcome: 'conflict' }
       const isUnchanged = error instanceof PlatformError && !(error instanceof UnknownOutcomeError)
       return { outcome: isUnchanged ? 'failed' : 'unknown' }
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -1,7 +1,7 @@
 import { countAvailable, createBucket, type Rate, reserveTokens, spendReserved } from '@camphorpitch/wire'
 import type { AdmissionRecord, VirtualFleet, VirtualVm } from './virtual-fleet.ts'
 
-const MOVE_INTERVAL_MS = 2_000
+const BUSY_VM_CHANGE_INTERVAL_MS = 2_000
 
 export interface LoadOptions {
   workspace: string
@@ -9,17 +9,17 @@
   endMs: number
 }
 
-/** Poisson arrivals, most of them at one VM, which changes every few seconds; the rest anywhere. */
+/** Schedules Poisson arrivals. Most of them go to one VM, which changes every `BUSY_VM_CHANGE_INTERVAL_MS`; the rest go to any VM. */
 export function startMovingLoad (fleet: VirtualFleet, { workspace, requestsPerSecond, endMs }: LoadOptions): void {
   const { queue, vms, random } = fleet
-  let favourite = vms[0]!
-  let movesAtMs = -Infinity
+  let busyVm = vms[0]!
+  let nextMoveAtMs = -Infinity
   function pickVm (): VirtualVm {
-    if (queue.nowMs >= movesAtMs) {
-      movesAtMs = queue.nowMs + MOVE_INTERVAL_MS
-      favourite = vms[Math.floor(random() * vms.length)]!
+    if (queue.nowMs >= nextMoveAtMs) {
+      nextMoveAtMs = queue.nowMs + BUSY_VM_CHANGE_INTERVAL_MS
+      busyVm = vms[Math.floor(random() * vms.length)]!
     }
-    return random() < 0.6 ? favourite : vms[Math.floor(random() * vms.length)]!
+    return random() < 0.6 ? busyVm : vms[Math.floor(random() * vms.length)]!
   }
   function scheduleNext (): void {
     const atMs = queue.nowMs - Math.log(1 - random()) * 1000 / requestsPerSecond
@@ -35,30 +35,30 @@
 export interface LoadResult {
   requests: number
   admitted: number
-  /** Requests that one exact bucket, which sees every arrival at once, would have admitted. */
+  /** Requests that a single exact bucket would have admitted, which sees every arrival without delay. */
   within: number
-  /** Requests refused although they were within the rate. */
+  /** Requests refused although the exact bucket would have admitted them. */
   wrongful: number
-  /** Longest wait for an admission, in milliseconds. */
+  /** Longest wait for a decision. */
   longestWaitMs: number
 }
 
-/** Compares a workspace's admissions with those of one exact bucket, which is full at `startMs`. */
+/** Compares a workspace's admissions from `startMs` on with those of a single exact bucket, which is full at `startMs`. */
 export function computeLoadResult (records: readonly AdmissionRecord[], workspace: string, rate: Rate, startMs: number): LoadResult {
-  const own = records.filter(r => r.workspace === workspace && r.askedAtMs >= startMs).sort((a, b) => a.askedAtMs - b.askedAtMs)
-  const perMs = rate.statementsPerSecond / 1000
-  const bucket = createBucket(perMs, rate.burst, startMs - rate.burst / perMs)
-  const result = { requests: own.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
-  for (const { askedAtMs, atMs, admission } of own) {
-    const isWithin = countAvailable(bucket, askedAtMs) >= 1
+  const workspaceRecords = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
+  const ratePerMs = rate.statementsPerSecond / 1000
+  const bucket = createBucket(ratePerMs, rate.burst, startMs - rate.burst / ratePerMs)
+  const result = { requests: workspaceRecords.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
+  for (const { requestedAtMs, atMs, admission } of workspaceRecords) {
+    const isWithin = countAvailable(bucket, requestedAtMs) >= 1
     if (isWithin) {
       reserveTokens(bucket, 1)
-      spendReserved(bucket, 1, askedAtMs)
+      spendReserved(bucket, 1, requestedAtMs)
       result.within += 1
       if (!admission.admitted) result.wrongful += 1
     }
     if (admission.admitted) result.admitted += 1
-    result.longestWaitMs = Math.max(result.longestWaitMs, atMs - askedAtMs)
+    result.longestWaitMs = Math.max(result.longestWaitMs, atMs - requestedAtMs)
   }
   return result
 }
