--- a/packages/gateway/src/limits/counting-vms.ts
+++ b/packages/gateway/src/limits/counting-vms.ts
@@ -3,25 +3,25 @@
 import type { VmEntry } from '../fleet/messages.ts'
 
 /** Up to this many VMs, each counts a part of every limit. Source: letter 1, small sites run 8 to 9 VMs. */
-export const MOST_COUNTING_ALL = 9
+export const MAX_VMS_ALL_COUNTING = 9
 /** VMs that count a workspace's limit in a larger fleet: one lost leaves most of the limit, and each part holds many operations. */
-export const COUNTING_VMS = 3
+export const COUNTING_VMS_PER_LIMIT = 3
 
 /**
  * Chooses the VMs that count a workspace's limit, by rendezvous hashing: first one of each region,
  * so that most VMs have one nearby, then one of each failure domain.
  */
 export function pickCountingVms (vms: readonly VmEntry[], workspace: string): VmEntry[] {
-  const key = hashName(workspace)
-  const weighed = vms.map(entry => ({ entry, weight: hashPair(key, hashName(entry.vm)) })).sort((a, b) => a.weight - b.weight)
+  const workspaceHash = hashName(workspace)
+  const weightedEntries = vms.map(entry => ({ entry, weight: hashPair(workspaceHash, hashName(entry.vm)) })).sort((a, b) => a.weight - b.weight)
   const picked: VmEntry[] = []
-  const isElsewhere = [
+  const preferences = [
     (e: VmEntry): boolean => !picked.some(p => p.region === e.region),
     (e: VmEntry): boolean => !picked.some(p => p.failureDomain === e.failureDomain),
     (e: VmEntry): boolean => !picked.includes(e)
   ]
-  for (const isWanted of isElsewhere) {
-    for (const { entry } of weighed) if (picked.length < COUNTING_VMS && isWanted(entry)) picked.push(entry)
+  for (const isPreferred of preferences) {
+    for (const { entry } of weightedEntries) if (picked.length < COUNTING_VMS_PER_LIMIT && isPreferred(entry)) picked.push(entry)
   }
   return picked
 }
@@ -29,20 +29,20 @@
 /** Knows which VMs count which limit, as this VM sees the fleet. */
 export class CountingVms {
   readonly #members: MemberState
-  readonly #picked = new Map<string, VmEntry[]>()
-  #pickedAt = -1
+  readonly #pickedByWorkspace = new Map<string, VmEntry[]>()
+  #pickedAtChange = -1
 
   constructor (members: MemberState) {
     this.#members = members
   }
 
   /** Whether the fleet is so large that few VMs count each limit. */
-  get areFew (): boolean {
-    return this.#members.members.size + 1 > MOST_COUNTING_ALL
+  get isLargeFleet (): boolean {
+    return this.#members.members.size + 1 > MAX_VMS_ALL_COUNTING
   }
 
   isCounting (workspace: string): boolean {
-    return !this.areFew || this.#pick(workspace).some(e => e.vm === this.#members.self.vm)
+    return !this.isLargeFleet || this.#pick(workspace).some(e => e.vm === this.#members.self.vm)
   }
 
   /** Those that count a workspace's limit in a large fleet, nearest first. */
@@ -59,14 +59,14 @@
 
   #pick (workspace: string): VmEntry[] {
     const { self, members, changes } = this.#members
-    if (this.#pickedAt !== changes) {
-      this.#picked.clear()
-      this.#pickedAt = changes
+    if (this.#pickedAtChange !== changes) {
+      this.#pickedByWorkspace.clear()
+      this.#pickedAtChange = changes
     }
-    let picked = this.#picked.get(workspace)
+    let picked = this.#pickedByWorkspace.get(workspace)
     if (picked === undefined) {
       picked = pickCountingVms([self, ...[...members.values()].map(m => m.entry)], workspace)
-      this.#picked.set(workspace, picked)
+      this.#pickedByWorkspace.set(workspace, picked)
     }
     return picked
   }
--- a/packages/gateway/src/limits/demand-window.ts
+++ b/packages/gateway/src/limits/demand-window.ts
@@ -1,5 +1,5 @@
 /** Parts into which a window is counted. */
-const PARTS = 10
+const PARTS_PER_WINDOW = 10
 
 /** Counts events by name over a sliding window. */
 export interface DemandWindow {
@@ -9,7 +9,7 @@
 
 /** @example createDemandWindow(5_000) */
 export function createDemandWindow (windowMs: number): DemandWindow {
-  return { partMs: windowMs / PARTS, parts: [] }
+  return { partMs: windowMs / PARTS_PER_WINDOW, parts: [] }
 }
 
 export function recordDemand (window: DemandWindow, name: string, nowMs: number): void {
@@ -18,14 +18,14 @@
   if (part === undefined || part.index !== index) {
     part = { index, counts: new Map() }
     window.parts.push(part)
-    while ((window.parts[0]?.index ?? index) <= index - PARTS) window.parts.shift()
+    while ((window.parts[0]?.index ?? index) <= index - PARTS_PER_WINDOW) window.parts.shift()
   }
   part.counts.set(name, (part.counts.get(name) ?? 0) + 1)
 }
 
 /** Events of the last window, by name. */
 export function sumDemand (window: DemandWindow, nowMs: number): Map<string, number> {
-  const oldest = Math.floor(nowMs / window.partMs) - PARTS
+  const oldest = Math.floor(nowMs / window.partMs) - PARTS_PER_WINDOW
   const sums = new Map<string, number>()
   for (const { index, counts } of window.parts) {
     if (index <= oldest) continue
--- a/packages/gateway/src/limits/permit-requests.test.ts
+++ b/packages/gateway/src/limits/permit-requests.test.ts
@@ -6,7 +6,7 @@
 import type { VmEntry } from '../fleet/messages.ts'
 import { gatewaySettingsSchema } from '../settings.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
-import { COUNTING_VMS, CountingVms, pickCountingVms } from './counting-vms.ts'
+import { COUNTING_VMS_PER_LIMIT, CountingVms, pickCountingVms } from './counting-vms.ts'
 import { PermitRequests } from './permit-requests.ts'
 import { QuotaKeeper } from './quota-keeper.ts'
 
@@ -29,7 +29,7 @@
   readonly cut = new Set<string>()
   /** Time that each answer takes, in milliseconds. */
   delayMs = 0
-  #late: Array<{ atMs: number, deliver: () => void }> = []
+  #delayedResponses: Array<{ atMs: number, deliver: () => void }> = []
   messages = 0
 
   constructor (size: number, workspaces: Workspace[]) {
@@ -60,15 +60,15 @@
         if (message.type !== 'permit' || other === undefined || this.cut.has(vm) || this.cut.has(self.vm)) return permits.handleLoss(vm)
         const answer = other.quotas.answerPermit(message)
         if (this.delayMs === 0) permits.handleAnswer(vm, answer)
-        else this.#late.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleAnswer(vm, answer) })
+        else this.#delayedResponses.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleAnswer(vm, answer) })
       }
     })
     return { quotas, permits, members }
   }
 
-  deliverLate (): void {
-    const due = this.#late.filter(l => l.atMs <= this.clock.nowMs)
-    this.#late = this.#late.filter(l => l.atMs > this.clock.nowMs)
+  deliverDelayedResponses (): void {
+    const due = this.#delayedResponses.filter(l => l.atMs <= this.clock.nowMs)
+    this.#delayedResponses = this.#delayedResponses.filter(l => l.atMs > this.clock.nowMs)
     for (const { deliver } of due) deliver()
   }
 
@@ -78,31 +78,31 @@
   }
 }
 
-interface Load { size: number, workspaces: Workspace[], rateOf: (workspace: Workspace, nowMs: number) => number, lengthMs: number, seed: number, handleStep?: (fleet: FakeFleet, nowMs: number) => void }
+interface Load { size: number, workspaces: Workspace[], readRatePerSecond: (workspace: Workspace, nowMs: number) => number, durationMs: number, seed: number, handleStep?: (fleet: FakeFleet, nowMs: number) => void }
 
-async function playLoad ({ size, workspaces, rateOf, lengthMs, seed, handleStep }: Load): Promise<{ admitted: Map<string, number[]>, asked: number, messages: number, fleet: FakeFleet }> {
+async function simulateLoad ({ size, workspaces, readRatePerSecond, durationMs, seed, handleStep }: Load): Promise<{ admitted: Map<string, number[]>, requested: number, messages: number, fleet: FakeFleet }> {
   const random = createSeededRandom(seed)
   const fleet = new FakeFleet(size, workspaces)
   const names = [...fleet.vms.keys()]
   const admitted = new Map<string, number[]>(workspaces.map(w => [w.name, []]))
-  let asked = 0
-  for (let nowMs = STEP_MS; nowMs < lengthMs; nowMs += STEP_MS) {
+  let requested = 0
+  for (let nowMs = STEP_MS; nowMs < durationMs; nowMs += STEP_MS) {
     fleet.clock.nowMs = nowMs
     handleStep?.(fleet, nowMs)
-    fleet.deliverLate()
+    fleet.deliverDelayedResponses()
     if (nowMs % ROUND_MS === 0) fleet.update()
     for (const workspace of workspaces) {
-      if (random() >= rateOf(workspace, nowMs) * STEP_MS / 1_000) continue
-      asked++
+      if (random() >= readRatePerSecond(workspace, nowMs) * STEP_MS / 1_000) continue
+      requested++
       const vm = fleet.vms.get(names[Math.floor(random() * names.length)]!)!
       const verdict = vm.quotas.isCountedByFew(workspace.name) ? await vm.permits.request(workspace.name) : vm.quotas.admit(workspace.name)
       if (verdict.isAdmitted) admitted.get(workspace.name)!.push(nowMs)
     }
   }
-  return { admitted, asked, messages: fleet.messages, fleet }
+  return { admitted, requested, messages: fleet.messages, fleet }
 }
 
-function findBusiestWindow (admitted: readonly number[]): number {
+function countBusiestWindow (admitted: readonly number[]): number {
   let most = 0
   for (let start = 0, end = 0; end < admitted.length; end++) {
     while (admitted[end]! - admitted[start]! > 5_000) start++
@@ -111,12 +111,12 @@
   return most
 }
 
-function countAll (admitted: Map<string, number[]>): number {
+function countAdmitted (admitted: Map<string, number[]>): number {
   return [...admitted.values()].reduce((sum, times) => sum + times.length, 0)
 }
 
 const workspaces: Workspace[] = Array.from({ length: 12 }, (_, i) => ({ name: `w${i}`, keys: [], ratePerSecond: 8 + i, burst: 8 }))
-const MOST_IN_WINDOW = (w: Workspace): number => (w.ratePerSecond! * 5 + w.burst!) * 1.1 + 20
+const computeMaxPerWindow = (w: Workspace): number => (w.ratePerSecond! * 5 + w.burst!) * 1.1 + 20
 
 describe('limits of a large fleet', () => {
   it('are counted on one VM of each region, the same for everyone', () => {
@@ -131,7 +131,7 @@
   it('are counted on different failure domains of a single region', () => {
     const entries = Array.from({ length: 30 }, (_, i) => ({ ...createEntry(i), region: 'one', failureDomain: `d${i % 5}` }))
     const picked = pickCountingVms(entries, 'w')
-    expect(new Set(picked.map(p => p.failureDomain)).size).to.equal(COUNTING_VMS)
+    expect(new Set(picked.map(p => p.failureDomain)).size).to.equal(COUNTING_VMS_PER_LIMIT)
   })
 
   it('move from few VMs only when one of them goes', () => {
@@ -142,26 +142,26 @@
   })
 
   it('refuse next to nothing of workspaces within their rate, where each VM sees few of their operations', async () => {
-    const { admitted, asked, messages } = await playLoad({ size: 71, workspaces, rateOf: w => w.ratePerSecond! * 0.6, lengthMs: 20_000, seed: 3 })
-    expect(countAll(admitted) / asked).to.be.greaterThan(0.995)
-    expect(messages / asked).to.be.lessThan(1.2)
+    const { admitted, requested, messages } = await simulateLoad({ size: 71, workspaces, readRatePerSecond: w => w.ratePerSecond! * 0.6, durationMs: 20_000, seed: 3 })
+    expect(countAdmitted(admitted) / requested).to.be.greaterThan(0.995)
+    expect(messages / requested).to.be.lessThan(1.2)
   })
 
   it('hold in every window when a workspace asks for 7.5 times its usual, and harm no other', async () => {
     for (let seed = 1; seed <= 5; seed++) {
-      const { admitted, messages, asked } = await playLoad({ size: 71, workspaces, rateOf: (w, nowMs) => w.ratePerSecond! * (w.name === 'w0' && nowMs > 4_000 ? 4.5 : 0.6), lengthMs: 15_000, seed })
-      for (const w of workspaces) expect(findBusiestWindow(admitted.get(w.name)!), `${w.name}, seed ${seed}`).to.be.at.most(MOST_IN_WINDOW(w))
-      expect(messages / asked).to.be.lessThan(3)
+      const { admitted, messages, requested } = await simulateLoad({ size: 71, workspaces, readRatePerSecond: (w, nowMs) => w.ratePerSecond! * (w.name === 'w0' && nowMs > 4_000 ? 4.5 : 0.6), durationMs: 15_000, seed })
+      for (const w of workspaces) expect(countBusiestWindow(admitted.get(w.name)!), `${w.name}, seed ${seed}`).to.be.at.most(computeMaxPerWindow(w))
+      expect(messages / requested).to.be.lessThan(3)
     }
   })
 
   it('hold when counting VMs leave and come back under such load', async () => {
     for (let seed = 1; seed <= 5; seed++) {
-      const { admitted } = await playLoad({
+      const { admitted } = await simulateLoad({
         size: 71,
         workspaces,
-        rateOf: w => w.ratePerSecond! * (w.name === 'w0' ? 4.5 : 0.6),
-        lengthMs: 20_000,
+        readRatePerSecond: w => w.ratePerSecond! * (w.name === 'w0' ? 4.5 : 0.6),
+        durationMs: 20_000,
         seed,
         handleStep: (fleet, nowMs) => {
           if (nowMs % 2_000 !== 0) return
@@ -172,7 +172,7 @@
           }
         }
       })
-      for (const w of workspaces) expect(findBusiestWindow(admitted.get(w.name)!), `${w.name}, seed ${seed}`).to.be.at.most(MOST_IN_WINDOW(w))
+      for (const w of workspaces) expect(countBusiestWindow(admitted.get(w.name)!), `${w.name}, seed ${seed}`).to.be.at.most(computeMaxPerWindow(w))
     }
   })
 
@@ -182,15 +182,15 @@
     const handleStep = (fleet: FakeFleet, nowMs: number): void => {
       if (nowMs === cutAtMs) for (const vm of [...fleet.vms.keys()].slice(0, 12)) fleet.cut.add(vm)
     }
-    const calm = await playLoad({ size: 71, workspaces, rateOf: w => w.ratePerSecond! * 0.6, lengthMs: 16_000, seed: 7, handleStep })
-    expect(countAll(calm.admitted) / calm.asked).to.be.greaterThan(0.93)
-    const hot = await playLoad({ size: 71, workspaces, rateOf: (w, nowMs) => w.ratePerSecond! * (w.name === 'w0' && isCut(nowMs) ? 4.5 : 0.6), lengthMs: 16_000, seed: 7, handleStep })
-    for (const w of workspaces) expect(findBusiestWindow(hot.admitted.get(w.name)!), w.name).to.be.at.most(MOST_IN_WINDOW(w))
+    const belowLimit = await simulateLoad({ size: 71, workspaces, readRatePerSecond: w => w.ratePerSecond! * 0.6, durationMs: 16_000, seed: 7, handleStep })
+    expect(countAdmitted(belowLimit.admitted) / belowLimit.requested).to.be.greaterThan(0.93)
+    const overLimit = await simulateLoad({ size: 71, workspaces, readRatePerSecond: (w, nowMs) => w.ratePerSecond! * (w.name === 'w0' && isCut(nowMs) ? 4.5 : 0.6), durationMs: 16_000, seed: 7, handleStep })
+    for (const w of workspaces) expect(countBusiestWindow(overLimit.admitted.get(w.name)!), w.name).to.be.at.most(computeMaxPerWindow(w))
   })
 
   it('refuse hardly anything of calm workspaces while answers are late', async () => {
-    const { admitted, asked } = await playLoad({ size: 30, workspaces: workspaces.slice(0, 3), rateOf: w => w.ratePerSecond! * 0.6, lengthMs: 16_000, seed: 7, handleStep: (fleet, nowMs) => { fleet.delayMs = nowMs > 6_000 ? 400 : 0 } })
-    expect(countAll(admitted) / asked).to.be.greaterThan(0.95) // What one VM admits uncounted is bounded, which clumps of operations exceed.
+    const { admitted, requested } = await simulateLoad({ size: 30, workspaces: workspaces.slice(0, 3), readRatePerSecond: w => w.ratePerSecond! * 0.6, durationMs: 16_000, seed: 7, handleStep: (fleet, nowMs) => { fleet.delayMs = nowMs > 6_000 ? 400 : 0 } })
+    expect(countAdmitted(admitted) / requested).to.be.greaterThan(0.95) // What one VM admits uncounted is bounded, which clumps of operations exceed.
   })
 
   it('refuse a workspace that is not known to be calm while nobody counts it, and say when to come back', async () => {
--- a/packages/gateway/src/limits/quota-keeper.ts
+++ b/packages/gateway/src/limits/quota-keeper.ts
@@ -3,10 +3,10 @@
 import { isHeard, type MemberState } from '../fleet/members.ts'
 import type { GatewaySettings } from '../settings.ts'
 import type { Permit, Permitted } from '../fleet/messages.ts'
-import { MOST_COUNTING_ALL, type CountingVms } from './counting-vms.ts'
-import { estimateDemand, createDemandShares, createFewDemand, createFleetDemand, recordVmDemand, sweepDemand, updateOwnDemand } from './demand-shares.ts'
+import { MAX_VMS_ALL_COUNTING, type CountingVms } from './counting-vms.ts'
+import { estimateDemand, createDemandShares, createLargeFleetDemand, createFleetDemand, recordVmDemand, sweepDemand, updateLocalDemand } from './demand-shares.ts'
 import { createDemandWindow, recordDemand, sumDemand } from './demand-window.ts'
-import { admitOperation, applyPressedBefore, countOperation, createQuotaState, hasReserve, updateQuotas, type FleetDemand, type QuotaVerdict } from './quota.ts'
+import { admitOperation, applyNearLimitBeforeStart, countOperation, createQuotaState, hasReserve, updateQuotas, type FleetDemand, type QuotaVerdict } from './quota.ts'
 
 const MS_PER_SECOND = 1_000
 
@@ -22,15 +22,15 @@
 export class QuotaKeeper {
   readonly #options: QuotaKeeperOptions
   readonly #state
-  readonly #window
-  readonly #shares = createDemandShares()
+  readonly #demandWindow
+  readonly #demandShares = createDemandShares()
 
   constructor (options: QuotaKeeperOptions) {
     this.#options = options
     const { quota, isFirstStart } = options.settings
     const windowMs = quota.windowS * MS_PER_SECOND
     this.#state = createQuotaState({ windowMs, overshoot: quota.overshoot, slack: quota.slack }, isFirstStart, options.clock.readNow())
-    this.#window = createDemandWindow(windowMs)
+    this.#demandWindow = createDemandWindow(windowMs)
   }
 
   get vm (): string {
@@ -39,7 +39,7 @@
 
   /** Whether a workspace has a limit that few VMs count. */
   isCountedByFew (workspace: string): boolean {
-    return this.#options.counting.areFew && this.#isLimited(workspace)
+    return this.#options.counting.isLargeFleet && this.#isLimited(workspace)
   }
 
   #isLimited (workspace: string): boolean {
@@ -48,7 +48,7 @@
 
   admit (workspace: string): QuotaVerdict {
     const nowMs = this.#options.clock.readNow()
-    recordDemand(this.#window, workspace, nowMs)
+    recordDemand(this.#demandWindow, workspace, nowMs)
     return admitOperation(this.#state, workspace, nowMs)
   }
 
@@ -58,7 +58,7 @@
     const nowMs = clock.readNow()
     const isCalm = !this.#state.pressed.has(workspace) && hasReserve(this.#state, workspace, nowMs)
     if (!this.#state.buckets.has(workspace) || !counting.isCounting(workspace)) return { type: 'permitted', request, result: 'notCounted', isCalm }
-    if (!isRepeated) recordDemand(this.#window, workspace, nowMs)
+    if (!isRepeated) recordDemand(this.#demandWindow, workspace, nowMs)
     if (isAdmitted) {
       countOperation(this.#state, workspace, nowMs)
       return { type: 'permitted', request, result: 'admitted', isCalm }
@@ -69,16 +69,16 @@
 
   /** What this VM was asked for, as it tells the others. */
   listDemand (): Array<[string, number]> {
-    return [...this.#shares.own]
+    return [...this.#demandShares.local]
   }
 
   recordVmDemand (vm: string, demand: ReadonlyArray<[string, number]>): void {
-    recordVmDemand(this.#shares, vm, new Map(demand), this.#options.clock.readNow())
+    recordVmDemand(this.#demandShares, vm, new Map(demand), this.#options.clock.readNow())
   }
 
   /** Takes in that a VM has ended: its part is free. */
   removeVm (vm: string): void {
-    this.#shares.others.delete(vm)
+    this.#demandShares.others.delete(vm)
   }
 
   /** Takes in the demand of the last window, and the limits as they stand. */
@@ -86,13 +86,13 @@
     const { clock, members, configuration, counting } = this.#options
     const nowMs = clock.readNow()
     const all = [...members.members.values()]
-    const isComplete = all.every(m => isHeard(m, nowMs))
+    const hasAllReports = all.every(m => isHeard(m, nowMs))
     const { isFirstStart, startedAtMs, tolerance } = this.#state
-    const missing = isFirstStart ? 0 : 1 - (nowMs - startedAtMs) / tolerance.windowMs
-    const isHeardByAll = isComplete || missing > 0 || counting.areFew
-    updateOwnDemand(this.#shares, estimateDemand(this.#shares, sumDemand(this.#window, nowMs), missing), isHeardByAll)
-    sweepDemand(this.#shares, nowMs)
-    updateQuotas(this.#state, configuration.current?.workspaces ?? [], this.#describeFleet(isComplete), nowMs)
+    const missingFraction = isFirstStart ? 0 : 1 - (nowMs - startedAtMs) / tolerance.windowMs
+    const isKnownToAll = hasAllReports || missingFraction > 0 || counting.isLargeFleet
+    updateLocalDemand(this.#demandShares, estimateDemand(this.#demandShares, sumDemand(this.#demandWindow, nowMs), missingFraction), isKnownToAll)
+    sweepDemand(this.#demandShares, nowMs)
+    updateQuotas(this.#state, configuration.current?.workspaces ?? [], this.#describeFleet(hasAllReports), nowMs)
   }
 
   /** Demand on each limited workspace, what its rate allows in a window, and this VM's part. */
@@ -104,13 +104,13 @@
       : [{ workspace: name, demand: fleet.readTotal(name), allowed: ratePerSecond * settings.quota.windowS, share: fleet.readShare(name) }])
   }
 
-  #describeFleet (isComplete: boolean): FleetDemand {
+  #describeFleet (hasAllReports: boolean): FleetDemand {
     const { members, counting, settings } = this.#options
-    if (counting.areFew) return createFewDemand(this.#shares, workspace => counting.isCounting(workspace))
-    const known = members.members.size + 1
+    if (counting.isLargeFleet) return createLargeFleetDemand(this.#demandShares, workspace => counting.isCounting(workspace))
+    const knownVms = members.members.size + 1
     // Others may run that this VM has not heard of, until somebody who knows has told it.
-    const vms = members.isListed || settings.isFirstStart ? known : Math.max(known, MOST_COUNTING_ALL)
-    return createFleetDemand(this.#shares, vms, isComplete)
+    const vmCount = members.isListed || settings.isFirstStart ? knownVms : Math.max(knownVms, MAX_VMS_ALL_COUNTING)
+    return createFleetDemand(this.#demandShares, vmCount, hasAllReports)
   }
 
   /** Whether this VM has counted for a whole window since its start. */
@@ -120,26 +120,26 @@
   }
 
   /** Whether a workspace asks for well below its limit, by what the counting VMs reported. */
-  isReportedCalm (workspace: string): boolean {
+  isReportedBelowLimit (workspace: string): boolean {
     return this.isSettled && !this.#state.pressed.has(workspace)
   }
 
   /** Workspaces that ask for nearly all that their limit allows, or more. */
-  listPressed (): string[] {
+  listNearLimit (): string[] {
     return [...this.#state.pressed].sort()
   }
 
   /** What every VM was asked for in the last window. */
   listAllDemand (): Record<string, Array<[string, number]>> {
-    const all: Record<string, Array<[string, number]>> = { [this.#options.settings.vm]: this.listDemand() }
-    for (const [vm, { demand }] of this.#shares.others) all[vm] = [...demand]
-    return all
+    const demandByVm: Record<string, Array<[string, number]>> = { [this.#options.settings.vm]: this.listDemand() }
+    for (const [vm, { demand }] of this.#demandShares.others) demandByVm[vm] = [...demand]
+    return demandByVm
   }
 
   /** Takes in what was recorded before this process started. */
-  applyRecord (pressed: readonly string[], demand: ReadonlyArray<[string, number]> | undefined): void {
-    applyPressedBefore(this.#state, pressed)
-    if (demand !== undefined) this.#shares.before = new Map(demand)
+  applyRecord (nearLimit: readonly string[], demand: ReadonlyArray<[string, number]> | undefined): void {
+    applyNearLimitBeforeStart(this.#state, nearLimit)
+    if (demand !== undefined) this.#demandShares.beforeStart = new Map(demand)
     this.update()
     this.update() // The first takes the demand in, the second the parts that follow from it.
   }
--- a/packages/gateway/src/limits/quota-record.ts
+++ b/packages/gateway/src/limits/quota-record.ts
@@ -5,8 +5,8 @@
 import type { QuotaKeeper } from './quota-keeper.ts'
 
 const OBJECT_NAME = 'pressed'
-const READ_RETRY_MS = 300
-const MOST_READS = 10
+const READ_RETRY_DELAY_MS = 300
+const MAX_READ_ATTEMPTS = 10
 
 /** Demand moves slowly; it is written with a change of the pressed workspaces, and else this often, in milliseconds. */
 const DEMAND_INTERVAL_MS = 10_000
@@ -32,7 +32,7 @@
 export class QuotaRecord {
   readonly #options: QuotaRecordOptions
   #revision: number | null = null
-  #written: string | undefined
+  #writtenNearLimit: string | undefined
   #writtenAtMs = -Infinity
   #isWriting = false
 
@@ -42,36 +42,36 @@
 
   /** Reads what was recorded before this start. */
   start (): void {
-    this.#read(MOST_READS).catch((error: unknown) => this.#options.logger.error('record of pressed workspaces not read', { error: String(error) }))
+    this.#read(MAX_READ_ATTEMPTS).catch((error: unknown) => this.#options.logger.error('record of pressed workspaces not read', { error: String(error) }))
   }
 
   /** Records what has changed, if this VM is the one to write. */
   update (): void {
     const { clock, members, quotas, logger } = this.#options
     if (!quotas.isSettled) return
-    const pressed = quotas.listPressed()
+    const nearLimit = quotas.listNearLimit()
     const isWriter = computeRank(members, OBJECT_NAME, clock.readNow()) === 0
-    const isDue = this.#written !== pressed.join() || clock.readNow() - this.#writtenAtMs >= DEMAND_INTERVAL_MS
+    const isDue = this.#writtenNearLimit !== nearLimit.join() || clock.readNow() - this.#writtenAtMs >= DEMAND_INTERVAL_MS
     if (!isWriter || this.#isWriting || !isDue) return
     this.#isWriting = true
-    this.#write(pressed).catch((error: unknown) => logger.info('pressed workspaces not recorded', { reason: String(error) }))
+    this.#write(nearLimit).catch((error: unknown) => logger.info('pressed workspaces not recorded', { reason: String(error) }))
       .finally(() => { this.#isWriting = false })
   }
 
-  async #read (tries: number): Promise<void> {
+  async #read (attemptsLeft: number): Promise<void> {
     const { store, logger, quotas, members } = this.#options
     try {
-      const found = await store.find('quotas', OBJECT_NAME)
-      const record = recordSchema.safeParse(found?.value)
-      this.#revision = found?.revision ?? null
+      const storedObject = await store.find('quotas', OBJECT_NAME)
+      const record = recordSchema.safeParse(storedObject?.value)
+      this.#revision = storedObject?.revision ?? null
       if (!record.success) return
       const { pressed, demand } = record.data
       logger.info('workspaces pressed before', { pressed })
       quotas.applyRecord(pressed, demand[members.self.vm])
     } catch (error) {
-      if (tries <= 1) throw error
-      await new Promise(resolve => setTimeout(resolve, READ_RETRY_MS))
-      await this.#read(tries - 1)
+      if (attemptsLeft <= 1) throw error
+      await new Promise(resolve => setTimeout(resolve, READ_RETRY_DELAY_MS))
+      await this.#read(attemptsLeft - 1)
     }
   }
 
@@ -79,7 +79,7 @@
     const { store, logger, clock, quotas } = this.#options
     try {
       this.#revision = await store.write('quotas', OBJECT_NAME, { pressed, demand: quotas.listAllDemand() }, this.#revision)
-      this.#written = pressed.join()
+      this.#writtenNearLimit = pressed.join()
       this.#writtenAtMs = clock.readNow()
       logger.info('pressed workspaces recorded', { pressed })
     } catch (error) {
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -4,25 +4,25 @@
 /** Operations of a window that are added to what each VM was asked for, as few operations tell little of the next ones. */
 const PRIOR_OPERATIONS = 1
 /** Part of the tolerated slack that is spread over the VMs, so that few operations need not come evenly. */
-const SPREAD_PART = 0.5
+const SLACK_HEADROOM_FRACTION = 0.5
 /** The same of what a large limit may be overshot by: it must also cover parts that do not add up while demand moves. */
-const SPREAD_PART_OF_OVERSHOOT = 0.1
+const OVERSHOOT_HEADROOM_FRACTION = 0.1
 /** Part of the spread where few VMs count: their parts are large, and the others may admit a little uncounted. */
-const SPREAD_PART_OF_FEW = 0.6
+const FEW_VMS_HEADROOM_FRACTION = 0.6
 /** Part of the tolerated excess that a restarted VM may use, as it does not know what it used before. */
-const RESTART_PART = 0.1
+const RESTART_EXCESS_FRACTION = 0.1
 /** A workspace that asks for less than this part of its rate is calm: its limit is far from used up. */
-const CALM_PART = 0.8
+const NEAR_LIMIT_FRACTION = 0.8
 /** Part of a calm workspace's limit that all VMs together may admit in a round beyond their parts. */
-const LENT_PART = 0.05
+const OVERDRAFT_LIMIT_FRACTION = 0.05
 /** The same as a part of the tolerated excess: two rounds of it, the spread part and a restart's part fill the excess. */
-const LENT_PART_OF_EXCESS = 0.15
+const OVERDRAFT_EXCESS_FRACTION = 0.15
 /** Part of its burst that a workspace may use right after a restart if it was calm before. */
-const REMEMBERED_PART = 0.7
+const RESTART_BURST_FRACTION = 0.7
 /** Part of its bucket that a calm workspace has left. */
-const RESERVE_PART = 0.2
+const MIN_RESERVE_FRACTION = 0.2
 /** Smallest rate of a bucket, in operations per millisecond; a limit of 0 admits nothing. */
-const MIN_RATE = 1e-6
+const MIN_RATE_PER_MS = 1e-6
 const MS_PER_SECOND = 1_000
 
 /** How far the count over a window may exceed the limit. */
@@ -38,7 +38,7 @@
 export interface FleetDemand {
   vms: number
   /** Whether every VM was heard lately. */
-  isComplete: boolean
+  hasAllReports: boolean
   /** Whether a few VMs count each limit, which others may take over from them. */
   isCountedByFew: boolean
   /** This VM's part of a workspace's limit; 0 where it counts nothing. */
@@ -55,29 +55,29 @@
   /** Whether this process may start with full buckets, as nothing has been used yet. */
   isFirstStart: boolean
   /** Workspaces that are known not to have been calm before this process started; `null` while that is not known. */
-  pressedBefore: ReadonlySet<string> | null
+  nearLimitBeforeStart: ReadonlySet<string> | null
   startedAtMs: number
   buckets: Map<string, TokenBucket>
   /** Operations that may be admitted beyond this VM's part until the next round. */
-  lent: Map<string, number>
+  overdraft: Map<string, number>
   /** Workspaces that are not calm now. */
   pressed: Set<string>
 }
 
 export function createQuotaState (tolerance: QuotaTolerance, isFirstStart: boolean, nowMs = 0): QuotaState {
-  return { tolerance, isFirstStart, pressedBefore: null, startedAtMs: nowMs, buckets: new Map(), lent: new Map(), pressed: new Set() }
+  return { tolerance, isFirstStart, nearLimitBeforeStart: null, startedAtMs: nowMs, buckets: new Map(), overdraft: new Map(), pressed: new Set() }
 }
 
 /** Takes in which workspaces were not calm before this process started; the others may use their burst at once. */
-export function applyPressedBefore (state: QuotaState, pressed: Iterable<string>): void {
-  state.pressedBefore = new Set(pressed)
+export function applyNearLimitBeforeStart (state: QuotaState, nearLimit: Iterable<string>): void {
+  state.nearLimitBeforeStart = new Set(nearLimit)
   state.buckets.clear()
 }
 
 /** Whether the workspace may have used up its limit before this process started, within the present window. */
-function isUseUnknown (state: QuotaState, workspace: string, nowMs: number): boolean {
-  const isYoung = !state.isFirstStart && nowMs - state.startedAtMs < state.tolerance.windowMs
-  return isYoung && (state.pressedBefore === null || state.pressedBefore.has(workspace))
+function isPriorUseUnknown (state: QuotaState, workspace: string, nowMs: number): boolean {
+  const isRecentlyStarted = !state.isFirstStart && nowMs - state.startedAtMs < state.tolerance.windowMs
+  return isRecentlyStarted && (state.nearLimitBeforeStart === null || state.nearLimitBeforeStart.has(workspace))
 }
 
 /**
@@ -98,7 +98,7 @@
 
 function removeQuota (state: QuotaState, name: string): void {
   state.buckets.delete(name)
-  state.lent.delete(name)
+  state.overdraft.delete(name)
   state.pressed.delete(name)
 }
 
@@ -106,42 +106,42 @@
   if (ratePerSecond === undefined) return removeQuota(state, name)
   const { windowMs, overshoot, slack } = state.tolerance
   const share = fleet.readShare(name)
-  const rateInWindow = ratePerSecond * windowMs / MS_PER_SECOND
-  const excess = (rateInWindow + burst) * overshoot + slack
-  const rate = Math.max(MIN_RATE, ratePerSecond * share / MS_PER_SECOND)
-  const ownBurst = ratePerSecond + burst === 0 ? 0 : Math.max(1, burst * share + computeSpread(state.tolerance, rateInWindow + burst, fleet))
+  const ratePerWindow = ratePerSecond * windowMs / MS_PER_SECOND
+  const allowedExcess = (ratePerWindow + burst) * overshoot + slack
+  const rate = Math.max(MIN_RATE_PER_MS, ratePerSecond * share / MS_PER_SECOND)
+  const localBurst = ratePerSecond + burst === 0 ? 0 : Math.max(1, burst * share + computeBurstHeadroom(state.tolerance, ratePerWindow + burst, fleet))
   const bucket = state.buckets.get(name)
   if (share === 0) state.buckets.delete(name)
-  else if (bucket !== undefined) replaceRate(bucket, rate, ownBurst, nowMs)
+  else if (bucket !== undefined) replaceRate(bucket, rate, localBurst, nowMs)
   else {
-    const level = Math.min(ownBurst, computeFirstLevel(state, name, { ownBurst, cautious: RESTART_PART * excess * share, calm: REMEMBERED_PART * burst * share }, fleet, nowMs))
-    state.buckets.set(name, createBucket(rate, ownBurst, nowMs - level / rate))
+    const level = Math.min(localBurst, computeInitialLevel(state, name, { localBurst, priorUseUnknown: RESTART_EXCESS_FRACTION * allowedExcess * share, wasBelowLimit: RESTART_BURST_FRACTION * burst * share }, fleet, nowMs))
+    state.buckets.set(name, createBucket(rate, localBurst, nowMs - level / rate))
   }
-  updateLent(state, name, { rateInWindow, lendable: Math.min(LENT_PART * (rateInWindow + burst + slack), LENT_PART_OF_EXCESS * excess) / fleet.vms }, fleet, nowMs)
+  updateOverdraft(state, name, { ratePerWindow, overdraftPerRound: Math.min(OVERDRAFT_LIMIT_FRACTION * (ratePerWindow + burst + slack), OVERDRAFT_EXCESS_FRACTION * allowedExcess) / fleet.vms }, fleet, nowMs)
 }
 
 /** Operations that this VM's bucket holds beyond its part of the burst. */
-function computeSpread ({ overshoot, slack }: QuotaTolerance, allowed: number, { vms, isCountedByFew }: FleetDemand): number {
-  const whole = SPREAD_PART * slack + SPREAD_PART_OF_OVERSHOOT * allowed * overshoot
-  return (isCountedByFew ? SPREAD_PART_OF_FEW * whole : whole) / vms
+function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFew }: FleetDemand): number {
+  const totalHeadroom = SLACK_HEADROOM_FRACTION * slack + OVERSHOOT_HEADROOM_FRACTION * limitPerWindow * overshoot
+  return (isCountedByFew ? FEW_VMS_HEADROOM_FRACTION * totalHeadroom : totalHeadroom) / vms
 }
 
 /** Operations that a new bucket holds, by what may have been used of the limit before. */
-function computeFirstLevel (state: QuotaState, name: string, levels: { ownBurst: number, cautious: number, calm: number }, fleet: FleetDemand, nowMs: number): number {
+function computeInitialLevel (state: QuotaState, name: string, levels: { localBurst: number, priorUseUnknown: number, wasBelowLimit: number }, fleet: FleetDemand, nowMs: number): number {
   const isSettled = nowMs - state.startedAtMs >= state.tolerance.windowMs
-  if (fleet.isCountedByFew && isSettled) return state.pressed.has(name) ? levels.cautious : levels.calm
-  if (isUseUnknown(state, name, nowMs)) return levels.cautious
-  return state.isFirstStart ? levels.ownBurst : levels.calm
+  if (fleet.isCountedByFew && isSettled) return state.pressed.has(name) ? levels.priorUseUnknown : levels.wasBelowLimit
+  if (isPriorUseUnknown(state, name, nowMs)) return levels.priorUseUnknown
+  return state.isFirstStart ? levels.localBurst : levels.wasBelowLimit
 }
 
 /** While all VMs together are asked for well below the limit, one may go beyond its part a little. */
-function updateLent (state: QuotaState, name: string, { rateInWindow, lendable }: { rateInWindow: number, lendable: number }, fleet: FleetDemand, nowMs: number): void {
-  const isCalm = fleet.readTotal(name) < CALM_PART * rateInWindow
-  if (isCalm) state.pressed.delete(name)
+function updateOverdraft (state: QuotaState, name: string, { ratePerWindow, overdraftPerRound }: { ratePerWindow: number, overdraftPerRound: number }, fleet: FleetDemand, nowMs: number): void {
+  const isBelowLimit = fleet.readTotal(name) < NEAR_LIMIT_FRACTION * ratePerWindow
+  if (isBelowLimit) state.pressed.delete(name)
   else state.pressed.add(name)
-  const isObserved = nowMs - state.startedAtMs >= state.tolerance.windowMs
-  if (!isCalm || !fleet.isComplete || !isObserved) state.lent.delete(name)
-  else state.lent.set(name, Math.min((state.lent.get(name) ?? 0) + lendable, Math.max(1, lendable)))
+  const isSettled = nowMs - state.startedAtMs >= state.tolerance.windowMs
+  if (!isBelowLimit || !fleet.hasAllReports || !isSettled) state.overdraft.delete(name)
+  else state.overdraft.set(name, Math.min((state.overdraft.get(name) ?? 0) + overdraftPerRound, Math.max(1, overdraftPerRound)))
 }
 
 /** `isUncounted`: not refused for the limit, but because no VM that counts it answers. */
@@ -151,9 +151,9 @@
 export function admitOperation (state: QuotaState, workspace: string, nowMs: number): QuotaVerdict {
   const bucket = state.buckets.get(workspace)
   if (bucket === undefined) return { isAdmitted: true }
-  const lent = state.lent.get(workspace) ?? 0
-  if (countAvailable(bucket, nowMs) < 1 && lent >= 1) {
-    state.lent.set(workspace, lent - 1)
+  const overdraft = state.overdraft.get(workspace) ?? 0
+  if (countAvailable(bucket, nowMs) < 1 && overdraft >= 1) {
+    state.overdraft.set(workspace, overdraft - 1)
     return { isAdmitted: true }
   }
   if (countAvailable(bucket, nowMs) < 1) return { isAdmitted: false, retryAfterMs: computeRetryAfterMs(bucket, nowMs) }
@@ -172,5 +172,5 @@
 /** Whether enough of a workspace's limit is left that others need not ask first. */
 export function hasReserve (state: QuotaState, workspace: string, nowMs: number): boolean {
   const bucket = state.buckets.get(workspace)
-  return bucket === undefined || countAvailable(bucket, nowMs) >= RESERVE_PART * bucket.burst
+  return bucket === undefined || countAvailable(bucket, nowMs) >= MIN_RESERVE_FRACTION * bucket.burst
 }
