--- a/packages/gateway/src/limits/counting-vms.ts
+++ b/packages/gateway/src/limits/counting-vms.ts
@@ -2,14 +2,19 @@
 import type { MemberState } from '../fleet/members.ts'
 import type { VmEntry } from '../fleet/messages.ts'
 
-/** Up to this many VMs, each counts a part of every limit. Source: letter 1, small sites run 8 to 9 VMs. */
+/** In a fleet of up to this many VMs, each VM counts a share of every limit. Small sites run 8 to 9 VMs. */
 export const MAX_VMS_ALL_COUNTING = 9
-/** VMs that count a workspace's limit in a larger fleet: one lost leaves most of the limit, and each part holds many operations. */
+/**
+ * Number of VMs that count a workspace's limit in a larger fleet. If one of them is lost, most of the limit can still be
+ * used, and each share is large enough to hold many operations.
+ */
 export const COUNTING_VMS_PER_LIMIT = 3
 
 /**
- * Chooses the VMs that count a workspace's limit, by rendezvous hashing: first one of each region,
- * so that most VMs have one nearby, then one of each failure domain.
+ * Picks the VMs that count a workspace's limit, by rendezvous hashing: first one VM per region, so that most VMs have a
+ * counting VM nearby, then one per failure domain, then any.
+ *
+ * @returns at most `COUNTING_VMS_PER_LIMIT` entries; the same for every order of `vms`
  */
 export function pickCountingVms (vms: readonly VmEntry[], workspace: string): VmEntry[] {
   const workspaceHash = hashName(workspace)
@@ -26,7 +31,7 @@
   return picked
 }
 
-/** Knows which VMs count which limit, as this VM sees the fleet. */
+/** Tells which VMs count which limit, based on the fleet members that this VM knows. Caches the result until the members change. */
 export class CountingVms {
   readonly #members: MemberState
   readonly #pickedByWorkspace = new Map<string, VmEntry[]>()
@@ -36,16 +41,17 @@
     this.#members = members
   }
 
-  /** Whether the fleet is so large that few VMs count each limit. */
+  /** Whether the fleet is so large that only `COUNTING_VMS_PER_LIMIT` VMs count each limit, instead of all. */
   get isLargeFleet (): boolean {
     return this.#members.members.size + 1 > MAX_VMS_ALL_COUNTING
   }
 
+  /** Whether this VM counts the workspace's limit. */
   isCounting (workspace: string): boolean {
     return !this.isLargeFleet || this.#pick(workspace).some(e => e.vm === this.#members.self.vm)
   }
 
-  /** Those that count a workspace's limit in a large fleet, nearest first. */
+  /** Lists the VMs that count a workspace's limit in a large fleet: this VM first, then by failure domain and region, the nearest first. */
   listNearest (workspace: string): VmEntry[] {
     return [...this.#pick(workspace)].sort((a, b) => this.#measureDistance(a) - this.#measureDistance(b))
   }
--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -1,19 +1,20 @@
 import { COUNTING_VMS_PER_LIMIT } from './counting-vms.ts'
 import { computeQuotaShare, type Demand, type FleetDemand } from './quota.ts'
 
-/** A report of a VM counts for this long after it was last heard, in milliseconds: longer than a turn of polls takes in a large fleet. */
+/** Older demand reports are dropped. Longer than it takes to poll every VM of a large fleet once. */
 const MAX_REPORT_AGE_MS = 60_000
 
 interface VmDemand { demand: Demand, receivedAtMs: number }
 
-/** What each VM was asked for, as the shares of the limits follow from it. */
+/** Demand on each VM, from which the VMs compute their shares of the limits. */
 export interface DemandShares {
-  /** This VM's demand as it now tells it to others. */
+  /** This VM's demand, as it is reported to the other VMs from now on. */
   local: Demand
-  /** This VM's demand as the others know it. Its part follows from this one: a newer count would make it too large. */
+  /** This VM's demand as of the previous update, which the others know. The local share is computed from it: a newer count could make the share too large. */
   publishedLocal: Demand
+  /** Last report of each other VM, by VM name. */
   others: Map<string, VmDemand>
-  /** What this VM was asked for before it started, where that was recorded. */
+  /** This VM's demand before it last started; `null` if the store has no record of it. */
   beforeStart: Demand | null
 }
 
@@ -22,10 +23,12 @@
 }
 
 /**
- * Fills up the counts of a VM that has run for part of a window only: without, its part would be next to nothing.
- * The missing part is taken from what it was asked for before it started, or else from the mean of the others.
+ * Completes the demand counted by a VM that has run for less than a window. Without this, a restarted VM would get a share
+ * close to zero. The missing time is filled with the VM's recorded demand from before its start or, if there is
+ * none, with the mean demand of the other VMs.
  *
- * @param missingFraction part of the window that lies before its start, from 0 to 1
+ * @param counted operations counted since the start
+ * @param missingFraction fraction of the window that lies before the start, from 0 to 1
  */
 export function estimateDemand (shares: DemandShares, counted: Demand, missingFraction: number): Demand {
   if (missingFraction <= 0) return counted
@@ -42,8 +45,8 @@
 }
 
 /**
- * Takes in this VM's demand. While not every VM hears it, its part must not grow: the others count with
- * what they last heard.
+ * Updates this VM's demand. Unless every VM receives the new counts, they may only decrease: the other VMs
+ * still compute their shares from the last report that they received, so a growing share here would exceed the limit.
  */
 export function updateLocalDemand (shares: DemandShares, demand: Demand, isKnownToAll: boolean): void {
   shares.publishedLocal = shares.local
@@ -54,22 +57,32 @@
   shares.local = new Map([...demand].map(([name, count]) => [name, Math.min(count, shares.local.get(name) ?? 0)]))
 }
 
+/** Stores another VM's latest demand report. */
 export function recordVmDemand (shares: DemandShares, vm: string, demand: Demand, nowMs: number): void {
   shares.others.set(vm, { demand, receivedAtMs: nowMs })
 }
 
+/** Drops reports that are too old to count. */
 export function sweepDemand (shares: DemandShares, nowMs: number): void {
   for (const [vm, { receivedAtMs }] of shares.others) if (nowMs - receivedAtMs > MAX_REPORT_AGE_MS) shares.others.delete(vm)
 }
 
-/** Describes the demand on the whole fleet of `vms` VMs. */
+/**
+ * Describes the demand on a fleet in which every VM counts each limit.
+ *
+ * @param vms number of VMs in the fleet, this one included
+ * @param hasAllReports whether every other VM has responded recently
+ */
 export function createFleetDemand (shares: DemandShares, vms: number, hasAllReports: boolean): FleetDemand {
   const readTotal = (workspace: string): number => readTotalDemand(shares, workspace)
   const readShare = (workspace: string): number => computeQuotaShare({ own: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
   return { vms, hasAllReports, isCountedByFew: false, readShare, readTotal }
 }
 
-/** Describes the demand on a fleet in which few VMs count each limit, in equal parts: who finds one used up asks the next. */
+/**
+ * Describes the demand on a large fleet, in which a few VMs count each limit. They have equal shares, since a VM whose request
+ * is refused by one of them asks the next.
+ */
 export function createLargeFleetDemand (shares: DemandShares, isCounting: (workspace: string) => boolean): FleetDemand {
   return {
     vms: COUNTING_VMS_PER_LIMIT,
--- a/packages/gateway/src/limits/permit-requests.test.ts
+++ b/packages/gateway/src/limits/permit-requests.test.ts
@@ -22,12 +22,13 @@
 
 interface FakeVm { quotas: QuotaKeeper, permits: PermitRequests, members: ReturnType<typeof createMemberState> }
 
-/** A fleet whose VMs ask each other over links that may be cut. */
+/** A fleet whose VMs request permits from each other over links that may be cut. */
 class FakeFleet {
   readonly clock = new VirtualClock()
   readonly vms = new Map<string, FakeVm>()
+  /** VMs that can't reach any other VM. */
   readonly cut = new Set<string>()
-  /** Time that each answer takes, in milliseconds. */
+  /** Delay of each response, in milliseconds. */
   delayMs = 0
   #delayedResponses: Array<{ atMs: number, deliver: () => void }> = []
   messages = 0
@@ -119,7 +120,7 @@
 const computeMaxPerWindow = (w: Workspace): number => (w.ratePerSecond! * 5 + w.burst!) * 1.1 + 20
 
 describe('limits of a large fleet', () => {
-  it('are counted on one VM of each region, the same for everyone', () => {
+  it('are counted on one VM per region, which every VM picks alike', () => {
     const entries = Array.from({ length: 71 }, (_, i) => createEntry(i))
     for (const { name } of workspaces) {
       const picked = pickCountingVms(entries, name)
@@ -128,26 +129,26 @@
     }
   })
 
-  it('are counted on different failure domains of a single region', () => {
+  it('are counted in different failure domains if there is a single region', () => {
     const entries = Array.from({ length: 30 }, (_, i) => ({ ...createEntry(i), region: 'one', failureDomain: `d${i % 5}` }))
     const picked = pickCountingVms(entries, 'w')
     expect(new Set(picked.map(p => p.failureDomain)).size).to.equal(COUNTING_VMS_PER_LIMIT)
   })
 
-  it('move from few VMs only when one of them goes', () => {
+  it('keep their other counting VMs when one of them leaves', () => {
     const entries = Array.from({ length: 71 }, (_, i) => createEntry(i))
     const [first, ...others] = pickCountingVms(entries, 'w0')
     const after = pickCountingVms(entries.filter(e => e !== first), 'w0')
     expect(after).to.include.members(others)
   })
 
-  it('refuse next to nothing of workspaces within their rate, where each VM sees few of their operations', async () => {
+  it('admit nearly all operations of workspaces within their rate, although each VM receives few of them', async () => {
     const { admitted, requested, messages } = await simulateLoad({ size: 71, workspaces, readRatePerSecond: w => w.ratePerSecond! * 0.6, durationMs: 20_000, seed: 3 })
     expect(countAdmitted(admitted) / requested).to.be.greaterThan(0.995)
     expect(messages / requested).to.be.lessThan(1.2)
   })
 
-  it('hold in every window when a workspace asks for 7.5 times its usual, and harm no other', async () => {
+  it('hold in every window for every workspace when the demand on one rises to 7.5 times its usual', async () => {
     for (let seed = 1; seed <= 5; seed++) {
       const { admitted, messages, requested } = await simulateLoad({ size: 71, workspaces, readRatePerSecond: (w, nowMs) => w.ratePerSecond! * (w.name === 'w0' && nowMs > 4_000 ? 4.5 : 0.6), durationMs: 15_000, seed })
       for (const w of workspaces) expect(countBusiestWindow(admitted.get(w.name)!), `${w.name}, seed ${seed}`).to.be.at.most(computeMaxPerWindow(w))
@@ -155,7 +156,7 @@
     }
   })
 
-  it('hold when counting VMs leave and come back under such load', async () => {
+  it('hold in every window when counting VMs leave and rejoin under such demand', async () => {
     for (let seed = 1; seed <= 5; seed++) {
       const { admitted } = await simulateLoad({
         size: 71,
@@ -176,7 +177,7 @@
     }
   })
 
-  it('let a VM that reaches no counting VM go on with calm workspaces, and only as it was used to', async () => {
+  it('let VMs that reach no counting VM admit most operations of workspaces below their limit, without exceeding a limit', async () => {
     const cutAtMs = 8_000
     const isCut = (nowMs: number): boolean => nowMs >= cutAtMs
     const handleStep = (fleet: FakeFleet, nowMs: number): void => {
@@ -188,12 +189,12 @@
     for (const w of workspaces) expect(countBusiestWindow(overLimit.admitted.get(w.name)!), w.name).to.be.at.most(computeMaxPerWindow(w))
   })
 
-  it('refuse hardly anything of calm workspaces while answers are late', async () => {
+  it('admit most operations of workspaces below their limit while responses are late', async () => {
     const { admitted, requested } = await simulateLoad({ size: 30, workspaces: workspaces.slice(0, 3), readRatePerSecond: w => w.ratePerSecond! * 0.6, durationMs: 16_000, seed: 7, handleStep: (fleet, nowMs) => { fleet.delayMs = nowMs > 6_000 ? 400 : 0 } })
-    expect(countAdmitted(admitted) / requested).to.be.greaterThan(0.95) // What one VM admits uncounted is bounded, which clumps of operations exceed.
+    expect(countAdmitted(admitted) / requested).to.be.greaterThan(0.95) // Bursts of operations exceed the number that a VM may admit uncounted.
   })
 
-  it('refuse a workspace that is not known to be calm while nobody counts it, and say when to come back', async () => {
+  it('refuse operations of a workspace that is not known to be below its limit while no VM counts it, with a time to retry', async () => {
     const fleet = new FakeFleet(71, workspaces)
     for (const vm of fleet.vms.keys()) fleet.cut.add(vm)
     const outsider = [...fleet.vms.values()].find(v => !pickCountingVms([...fleet.vms.values()].map(o => o.members.self), 'w0').some(e => e.vm === v.quotas.vm))!
--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -5,24 +5,25 @@
 import type { QuotaKeeper } from './quota-keeper.ts'
 import type { QuotaVerdict } from './quota.ts'
 
-/** Longest wait for a counting VM's answer while the client waits, in milliseconds; well above a round trip between regions. */
+/** Limit for a counting VM's response while a client waits for the verdict; well above a round trip between regions. */
 const RESPONSE_TIMEOUT_MS = 60
-/** The same where no client waits, in milliseconds. */
+/** Limit for a counting VM's response when the operation has been admitted already and no client waits. */
 const BACKGROUND_RESPONSE_TIMEOUT_MS = 1_000
-/** A VM that has not answered is not asked for this long, in milliseconds. */
+/** No request is sent to a counting VM for this long after it failed to respond. */
 const UNRESPONSIVE_BACKOFF_MS = 1_000
-/** A refusal by all counting VMs is repeated without asking for this long at most, in milliseconds. */
+/** After the counting VMs refused an operation, further ones of the workspace are refused without a request for at most this long. */
 const MAX_REFUSAL_CACHE_MS = 500
-/** When an operation that nobody could count is worth repeating, in milliseconds. */
+/** Time after which a client should retry an operation that no counting VM could count. */
 const UNCOUNTED_RETRY_AFTER_MS = 500
-/** A workspace counts as calm for this long after a counting VM said so, in milliseconds. */
+/** A counting VM's statement that a workspace is below its limit holds for this long. */
 const BELOW_LIMIT_VALID_MS = 20_000
-/** Part by which the usual number of operations follows the latest one. */
+/** Weight of the latest count in the moving average of operations admitted in a window, from 0 to 1. */
 const USUAL_COUNT_WEIGHT = 0.1
 
 export interface PermitRequestsOptions {
   clock: Clock
   logger: Logger
+  /** Window over which limits hold, in milliseconds. */
   windowMs: number
   counting: CountingVms
   quotas: QuotaKeeper
@@ -31,24 +32,25 @@
 
 interface PendingRequest { vm: string, finish: (result: Permitted | null) => void }
 
-/** What was last heard on a workspace. */
+/** What the counting VMs' responses told about a workspace. */
 interface WorkspaceState {
+  /** Operations are refused without a request until then. */
   refusedUntilMs: number
-  /** `null` before any counting VM has answered. */
+  /** The workspace is taken to be below its limit until then; `null` before any counting VM has responded. */
   belowLimitUntilMs: number | null
-  /** Operations in a window that this VM's clients have usually been admitted. */
+  /** Moving average of the operations that counting VMs admitted for this VM's clients in a window. */
   usualCount: number
-  /** When each operation was admitted that no counting VM is known to have counted, the oldest first. */
+  /** Times at which operations were admitted that no counting VM has confirmed to have counted yet, the oldest first. */
   uncountedTimesMs: number[]
 }
 
 /**
- * Asks the VMs that count a workspace's limit to admit an operation: the nearest first, then the others,
- * as their parts may not be used up.
+ * Requests permits for operations from the VMs that count a workspace's limit: from the nearest first, then from the
+ * others, whose shares may not be used up.
  *
- * While a workspace asks for well below its limit its operations are admitted at once and only told to a
- * counting VM. This goes on as long as answers come; without, for no more than was usual here in a window,
- * so that slow links and lost counting VMs harm few callers and a limit stays bounded.
+ * While a workspace is well below its limit, its operations are admitted optimistically: at once, with a report to a
+ * counting VM afterwards. Without a confirmation from a counting VM, the operations admitted in a window are limited to one more
+ * than this VM's usual number. So slow links and lost counting VMs affect few clients, and the excess over the limit stays bounded.
  */
 export class PermitRequests {
   readonly #options: PermitRequestsOptions
@@ -63,6 +65,7 @@
     this.#admittedWindow = createDemandWindow(options.windowMs)
   }
 
+  /** Decides whether an operation of the workspace is admitted. If no counting VM responds, the verdict is a refusal with `isUncounted`. */
   async request (workspace: string): Promise<QuotaVerdict> {
     const { clock } = this.#options
     const nowMs = clock.readNow()
@@ -80,13 +83,14 @@
     return { isAdmitted: false, retryAfterMs }
   }
 
+  /** Handles a counting VM's response, which may arrive after its request has timed out. */
   handleAnswer (vm: string, response: Permitted): void {
-    this.#skippedUntilMs.delete(vm) // Also by a late answer: the VM runs, and its link is slow.
+    this.#skippedUntilMs.delete(vm) // A late response also ends the backoff: the VM runs, only its link is slow.
     const request = this.#pending.get(response.request)
     if (request?.vm === vm) request.finish(response)
   }
 
-  /** Takes in that the link to a VM is lost: what it was asked gets no answer. */
+  /** Ends the requests that are pending at a VM after the link to it was lost, as if they had timed out. */
   handleLoss (vm: string): void {
     for (const request of this.#pending.values()) if (request.vm === vm) request.finish(null)
   }
@@ -98,7 +102,7 @@
     return isBelowLimit && state.uncountedTimesMs.length < 1 + state.usualCount
   }
 
-  /** Tells a counting VM, the next one if that does not answer, of an operation that is admitted already. */
+  /** Reports an operation that is already admitted to a counting VM or, if that does not respond or does not count the limit, to the next one. */
   #admitOptimistically (workspace: string, state: WorkspaceState, nowMs: number): void {
     state.uncountedTimesMs.push(nowMs)
     const requestNext = async (): Promise<void> => {
@@ -111,10 +115,14 @@
         return
       }
     }
-    requestNext().catch((error: unknown) => this.#options.logger.error('operation not counted', { workspace, error: String(error) }))
+    requestNext().catch((error: unknown) => this.#options.logger.error('reporting an admitted operation failed', { workspace, error: String(error) }))
   }
 
-  /** @returns `'admitted'`, or when each VM that refused would admit one, in milliseconds */
+  /**
+   * Requests a permit from one counting VM after the other until one admits the operation.
+   *
+   * @returns `'admitted'`, or for each VM that refused, the time in milliseconds after which it would admit an operation
+   */
   async #requestFromAll (workspace: string, state: WorkspaceState): Promise<'admitted' | number[]> {
     const retryDelaysMs: number[] = []
     for (const vm of this.#listTargets(workspace)) {
@@ -127,6 +135,7 @@
     return retryDelaysMs
   }
 
+  /** Lists the counting VMs to send a request to, nearest first, without those that failed to respond lately. */
   #listTargets (workspace: string): string[] {
     const { clock, counting } = this.#options
     return counting.listNearest(workspace).map(e => e.vm).filter(vm => clock.readNow() >= (this.#skippedUntilMs.get(vm) ?? -Infinity))
@@ -140,6 +149,7 @@
     state.usualCount += USUAL_COUNT_WEIGHT * ((sumDemand(this.#admittedWindow, nowMs).get(workspace) ?? 0) - state.usualCount)
   }
 
+  /** @returns `null` if the VM did not respond within `waitMs` or the link to it was lost */
   async #requestFrom (vm: string, { workspace, isRepeated, isAdmitted, waitMs }: { workspace: string, isRepeated: boolean, isAdmitted: boolean, waitMs: number }): Promise<Permitted | null> {
     const { quotas, send, logger, clock } = this.#options
     const request = ++this.#sequence
@@ -157,7 +167,7 @@
     })
     if (response !== null) return response
     this.#skippedUntilMs.set(vm, clock.readNow() + UNRESPONSIVE_BACKOFF_MS)
-    logger.info('counting vm not answering', { vm, workspace, avoidedMs: UNRESPONSIVE_BACKOFF_MS })
+    logger.info('counting VM did not respond', { vm, workspace, backoffMs: UNRESPONSIVE_BACKOFF_MS })
     return null
   }
 
--- a/packages/gateway/src/limits/quota-keeper.ts
+++ b/packages/gateway/src/limits/quota-keeper.ts
@@ -18,7 +18,7 @@
   counting: CountingVms
 }
 
-/** Counts operations against this VM's parts of the workspaces' limits. */
+/** Counts operations against this VM's shares of the workspaces' limits. */
 export class QuotaKeeper {
   readonly #options: QuotaKeeperOptions
   readonly #state
@@ -33,11 +33,12 @@
     this.#demandWindow = createDemandWindow(windowMs)
   }
 
+  /** Name of this VM. */
   get vm (): string {
     return this.#options.settings.vm
   }
 
-  /** Whether a workspace has a limit that few VMs count. */
+  /** Whether a workspace has a limit that only a few VMs of a large fleet count, so that a permit must be requested from them. */
   isCountedByFew (workspace: string): boolean {
     return this.#options.counting.isLargeFleet && this.#isLimited(workspace)
   }
@@ -46,13 +47,17 @@
     return this.#options.configuration.current?.workspaces.find(w => w.name === workspace)?.ratePerSecond !== undefined
   }
 
+  /** Counts an operation against this VM's share of the limit, or refuses it. */
   admit (workspace: string): QuotaVerdict {
     const nowMs = this.#options.clock.readNow()
     recordDemand(this.#demandWindow, workspace, nowMs)
     return admitOperation(this.#state, workspace, nowMs)
   }
 
-  /** Admits an operation of another VM's client, or of one of its own, if this VM counts the limit. */
+  /**
+   * Responds to a permit request of this or another VM: counts the operation if this VM counts the limit.
+   * The demand is not raised for a repeated request, since the VM that received it first has recorded it.
+   */
   answerPermit ({ request, workspace, isRepeated, isAdmitted }: Permit): Permitted {
     const { counting, clock } = this.#options
     const nowMs = clock.readNow()
@@ -67,21 +72,22 @@
     return verdict.isAdmitted ? { type: 'permitted', request, result: 'admitted', isCalm } : { type: 'permitted', request, result: 'refused', retryAfterMs: verdict.retryAfterMs, isCalm }
   }
 
-  /** What this VM was asked for, as it tells the others. */
+  /** Lists this VM's demand by workspace, as it is reported to the other VMs. */
   listDemand (): Array<[string, number]> {
     return [...this.#demandShares.local]
   }
 
+  /** Stores another VM's demand report. */
   recordVmDemand (vm: string, demand: ReadonlyArray<[string, number]>): void {
     recordVmDemand(this.#demandShares, vm, new Map(demand), this.#options.clock.readNow())
   }
 
-  /** Takes in that a VM has ended: its part is free. */
+  /** Removes the demand of a VM that has left, so that the others share its share. */
   removeVm (vm: string): void {
     this.#demandShares.others.delete(vm)
   }
 
-  /** Takes in the demand of the last window, and the limits as they stand. */
+  /** Recomputes this VM's shares from the current limits and the demand of the last window. */
   update (): void {
     const { clock, members, configuration, counting } = this.#options
     const nowMs = clock.readNow()
@@ -95,7 +101,7 @@
     updateQuotas(this.#state, configuration.current?.workspaces ?? [], this.#describeFleet(hasAllReports), nowMs)
   }
 
-  /** Demand on each limited workspace, what its rate allows in a window, and this VM's part. */
+  /** Lists the limited workspaces with the demand on the fleet and the operations that the rate allows, both per window, and this VM's share as a fraction. */
   listUse (): Array<{ workspace: string, demand: number, allowed: number, share: number }> {
     const { configuration, settings } = this.#options
     const fleet = this.#describeFleet(true)
@@ -108,7 +114,7 @@
     const { members, counting, settings } = this.#options
     if (counting.isLargeFleet) return createLargeFleetDemand(this.#demandShares, workspace => counting.isCounting(workspace))
     const knownVms = members.members.size + 1
-    // Others may run that this VM has not heard of, until somebody who knows has told it.
+    // Until this VM has received the list of members, there may be VMs that it does not know.
     const vmCount = members.isListed || settings.isFirstStart ? knownVms : Math.max(knownVms, MAX_VMS_ALL_COUNTING)
     return createFleetDemand(this.#demandShares, vmCount, hasAllReports)
   }
@@ -119,28 +125,33 @@
     return this.#options.clock.readNow() - startedAtMs >= tolerance.windowMs
   }
 
-  /** Whether a workspace asks for well below its limit, by what the counting VMs reported. */
+  /** Whether a workspace is well below its limit, according to the demand that the VMs reported. Always false before this VM is settled. */
   isReportedBelowLimit (workspace: string): boolean {
     return this.isSettled && !this.#state.pressed.has(workspace)
   }
 
-  /** Workspaces that ask for nearly all that their limit allows, or more. */
+  /** Lists the names of the workspaces whose demand is near their limit or above it, in order. */
   listNearLimit (): string[] {
     return [...this.#state.pressed].sort()
   }
 
-  /** What every VM was asked for in the last window. */
+  /** Lists the demand of the last window by VM, as pairs of workspace and operations. */
   listAllDemand (): Record<string, Array<[string, number]>> {
     const demandByVm: Record<string, Array<[string, number]>> = { [this.#options.settings.vm]: this.listDemand() }
     for (const [vm, { demand }] of this.#demandShares.others) demandByVm[vm] = [...demand]
     return demandByVm
   }
 
-  /** Takes in what was recorded before this process started. */
+  /**
+   * Applies the record that was written before this process started.
+   *
+   * @param nearLimit workspaces that were near their limit
+   * @param demand this VM's demand at that time, if recorded
+   */
   applyRecord (nearLimit: readonly string[], demand: ReadonlyArray<[string, number]> | undefined): void {
     applyNearLimitBeforeStart(this.#state, nearLimit)
     if (demand !== undefined) this.#demandShares.beforeStart = new Map(demand)
     this.update()
-    this.update() // The first takes the demand in, the second the parts that follow from it.
+    this.update() // The first update publishes the recorded demand, the second computes the shares from it.
   }
 }
--- a/packages/gateway/src/limits/quota-record.ts
+++ b/packages/gateway/src/limits/quota-record.ts
@@ -8,12 +8,13 @@
 const READ_RETRY_DELAY_MS = 300
 const MAX_READ_ATTEMPTS = 10
 
-/** Demand moves slowly; it is written with a change of the pressed workspaces, and else this often, in milliseconds. */
+/** Demand changes slowly, so it is written only at this interval, or whenever the set of workspaces near their limit changes. */
 const DEMAND_INTERVAL_MS = 10_000
 
 const recordSchema = z.object({
+  /** Workspaces near their limit. */
   pressed: z.array(z.string()),
-  /** Operations that each VM was asked for in a window, by workspace. */
+  /** For each VM, the operations requested from it in a window, as pairs of workspace and count. */
   demand: z.record(z.string(), z.array(z.tuple([z.string(), z.number()]))).default({})
 })
 
@@ -26,8 +27,9 @@
 }
 
 /**
- * Keeps in the store which workspaces are near their limits, so that VMs that all start again know which
- * others may use their burst at once. One VM writes, when the set changes, and from time to time what each VM is asked for, which gives them their parts.
+ * Keeps a record in the store of the workspaces near their limit and of the demand on each VM. When all VMs restart, they
+ * read from it which workspaces may use their burst at once, and compute their shares from the recorded demand.
+ * One VM, the first in rank, writes the record.
  */
 export class QuotaRecord {
   readonly #options: QuotaRecordOptions
@@ -40,12 +42,12 @@
     this.#options = options
   }
 
-  /** Reads what was recorded before this start. */
+  /** Starts to read the record that was written before this process started; retries if that fails. */
   start (): void {
-    this.#read(MAX_READ_ATTEMPTS).catch((error: unknown) => this.#options.logger.error('record of pressed workspaces not read', { error: String(error) }))
+    this.#read(MAX_READ_ATTEMPTS).catch((error: unknown) => this.#options.logger.error('reading the quota record failed', { error: String(error) }))
   }
 
-  /** Records what has changed, if this VM is the one to write. */
+  /** Writes the record if it is due, this VM is the one to write it, and it has counted for a whole window. */
   update (): void {
     const { clock, members, quotas, logger } = this.#options
     if (!quotas.isSettled) return
@@ -54,7 +56,7 @@
     const isDue = this.#writtenNearLimit !== nearLimit.join() || clock.readNow() - this.#writtenAtMs >= DEMAND_INTERVAL_MS
     if (!isWriter || this.#isWriting || !isDue) return
     this.#isWriting = true
-    this.#write(nearLimit).catch((error: unknown) => logger.info('pressed workspaces not recorded', { reason: String(error) }))
+    this.#write(nearLimit).catch((error: unknown) => logger.info('writing the quota record failed', { reason: String(error) }))
       .finally(() => { this.#isWriting = false })
   }
 
@@ -66,7 +68,7 @@
       this.#revision = storedObject?.revision ?? null
       if (!record.success) return
       const { pressed, demand } = record.data
-      logger.info('workspaces pressed before', { pressed })
+      logger.info('quota record read', { pressed })
       quotas.applyRecord(pressed, demand[members.self.vm])
     } catch (error) {
       if (attemptsLeft <= 1) throw error
@@ -81,7 +83,7 @@
       this.#revision = await store.write('quotas', OBJECT_NAME, { pressed, demand: quotas.listAllDemand() }, this.#revision)
       this.#writtenNearLimit = pressed.join()
       this.#writtenAtMs = clock.readNow()
-      logger.info('pressed workspaces recorded', { pressed })
+      logger.info('quota record written', { pressed })
     } catch (error) {
       if (!(error instanceof RevisionConflictError)) throw error
       this.#revision = (await store.find('quotas', OBJECT_NAME))?.revision ?? null
--- a/packages/gateway/src/limits/quota.test.ts
+++ b/packages/gateway/src/limits/quota.test.ts
@@ -21,20 +21,20 @@
 interface Load {
   vms: number
   workspace: Workspace
-  /** Operations a second that are asked for, at a time. */
+  /** Operations requested per second at the given time. */
   readRatePerSecond: (nowMs: number) => number
-  /** Part of them that each VM gets. */
+  /** Fraction of them that each VM receives at the given time. */
   parts: (nowMs: number) => number[]
   isPartitioned?: (vm: number, nowMs: number) => boolean
   restartAtMs?: number
-  /** Whether restarted VMs learn what was recorded before. */
+  /** Whether restarted VMs read the record of the workspaces near their limit and of the demand. */
   restoresRecord?: boolean
-  /** Whether every VM gets the same part of the limit, as a naive fleet would share it. */
+  /** Whether every VM gets the same share of the limit instead of one that follows its demand. */
   hasEqualShares?: boolean
   durationMs: number
 }
 
-/** Plays a load on a fleet that exchanges its demand every half second. */
+/** Simulates a load on a fleet whose VMs exchange their demand every half second. */
 function simulateLoad (load: Load, seed: number): { admitted: number[], requested: number } {
   const random = createSeededRandom(seed)
   let vms = Array.from({ length: load.vms }, () => createVm(true))
@@ -104,23 +104,23 @@
 }
 const unevenFractions = [0.3, 0.2, 0.15, 0.1, 0.1, 0.05, 0.05, 0.05]
 
-describe('quota over a fleet', () => {
-  it('shares add up to the whole', () => {
+describe('quota of a fleet', () => {
+  it('has shares that add up to 1', () => {
     const own = [5, 20, 0, 75]
     const sum = own.reduce((total, o) => total + computeQuotaShare({ own: o, total: 100, vms: 4 }), 0)
     expect(sum).to.be.closeTo(1, 1e-9)
   })
 
   const loads: Record<string, Omit<Load, 'workspace' | 'vms' | 'durationMs'>> = {
-    'one workspace asks for 7.5 times its usual': { readRatePerSecond: nowMs => nowMs > 6_000 && nowMs < 14_000 ? 225 : 30, parts: () => unevenFractions },
-    'it does so while two VMs are cut off from the rest': { readRatePerSecond: nowMs => nowMs > 6_000 ? 225 : 30, parts: () => unevenFractions, isPartitioned: (vm, nowMs) => vm < 2 && nowMs > 5_000 && nowMs < 15_000 },
-    'its clients move from some VMs to others meanwhile': { readRatePerSecond: () => 225, parts: nowMs => nowMs < 8_000 ? unevenFractions : [...unevenFractions].reverse() },
-    'every VM is killed and starts again': { readRatePerSecond: () => 225, parts: () => unevenFractions, restartAtMs: 9_000 },
-    'every VM is killed a moment after it began to press': { readRatePerSecond: nowMs => nowMs > 8_600 ? 225 : 30, parts: () => unevenFractions, restartAtMs: 9_000, restoresRecord: true },
-    'every VM is killed while it presses, and remembers': { readRatePerSecond: nowMs => nowMs > 5_000 ? 225 : 30, parts: () => unevenFractions, restartAtMs: 9_000, restoresRecord: true }
+    'the demand rises to 7.5 times its usual': { readRatePerSecond: nowMs => nowMs > 6_000 && nowMs < 14_000 ? 225 : 30, parts: () => unevenFractions },
+    'the demand rises while two VMs are cut off from the rest': { readRatePerSecond: nowMs => nowMs > 6_000 ? 225 : 30, parts: () => unevenFractions, isPartitioned: (vm, nowMs) => vm < 2 && nowMs > 5_000 && nowMs < 15_000 },
+    'the clients move from some VMs to others under high demand': { readRatePerSecond: () => 225, parts: nowMs => nowMs < 8_000 ? unevenFractions : [...unevenFractions].reverse() },
+    'every VM is killed and restarts': { readRatePerSecond: () => 225, parts: () => unevenFractions, restartAtMs: 9_000 },
+    'every VM is killed just after the demand rose, and reads the record': { readRatePerSecond: nowMs => nowMs > 8_600 ? 225 : 30, parts: () => unevenFractions, restartAtMs: 9_000, restoresRecord: true },
+    'every VM is killed under high demand, and reads the record': { readRatePerSecond: nowMs => nowMs > 5_000 ? 225 : 30, parts: () => unevenFractions, restartAtMs: 9_000, restoresRecord: true }
   }
   for (const [title, load] of Object.entries(loads)) {
-    it(`holds in every window when ${title}, in 20 seeds`, () => {
+    it(`holds in every window when ${title}, with 20 seeds`, () => {
       for (let seed = 1; seed <= 20; seed++) {
         for (const limited of [workspace, smallWorkspace, largeWorkspace]) {
           const readRatePerSecond = (nowMs: number): number => load.readRatePerSecond(nowMs) * limited.ratePerSecond! / workspace.ratePerSecond!
@@ -131,12 +131,12 @@
     })
   }
 
-  it('refuses nearly nothing of a workspace that stays within its rate', () => {
+  it('admits nearly all operations of a workspace that stays within its rate', () => {
     const { admitted, requested } = simulateLoad({ vms: 8, workspace, readRatePerSecond: () => 30, parts: () => unevenFractions, durationMs: 30_000 }, 4)
     expect(admitted.length / requested).to.be.greaterThan(0.99)
   })
 
-  it('refuses a small workspace within its rate far less often than equal parts do', () => {
+  it('refuses a small workspace within its rate far less often than equal shares would', () => {
     const measureRefusedFraction = (hasEqualShares: boolean): number => {
       const { admitted, requested } = simulateLoad({ vms: 8, workspace: smallWorkspace, readRatePerSecond: () => 10 / 1.6, parts: () => unevenFractions, durationMs: 200_000, hasEqualShares }, 4)
       return 1 - admitted.length / requested
@@ -144,7 +144,7 @@
     expect(measureRefusedFraction(false)).to.be.lessThan(measureRefusedFraction(true) / 5)
   })
 
-  it('refuses little after every VM was killed, where the demand before is known', () => {
+  it('refuses fewer operations after every VM was killed if the demand before is known', () => {
     const measureRefusedFraction = (restoresRecord: boolean): number => {
       const { admitted, requested } = simulateLoad({ vms: 8, workspace, readRatePerSecond: nowMs => nowMs < 9_000 ? 0 : 40, parts: () => unevenFractions, restartAtMs: 9_000, restoresRecord, durationMs: 13_000 }, 4)
       return 1 - admitted.length / requested
@@ -152,7 +152,7 @@
     expect(measureRefusedFraction(true)).to.be.lessThan(measureRefusedFraction(false))
   })
 
-  it('gives a VM that starts again among others the part that its clients need', () => {
+  it('estimates the demand of a restarted VM from that of the others', () => {
     const shares = createDemandShares()
     for (const vm of ['a', 'b', 'c']) recordVmDemand(shares, vm, new Map([['lab', 60]]), 0)
     expect(estimateDemand(shares, new Map(), 1).get('lab')).to.equal(60)
@@ -160,14 +160,14 @@
     expect(estimateDemand(shares, new Map([['lab', 55]]), 0).get('lab')).to.equal(55)
   })
 
-  it('admits nothing at a rate of 0, and everything without a rate', () => {
+  it('admits nothing with a rate of 0, and everything without a rate', () => {
     const state = createQuotaState(tolerance, true)
     updateQuotas(state, [{ name: 'none', keys: [], ratePerSecond: 0, burst: 0 }, { name: 'free', keys: [] }], singleVmDemand, 0)
     expect(admitOperation(state, 'none', 10_000).isAdmitted).to.equal(false)
     for (let i = 0; i < 1_000; i++) expect(admitOperation(state, 'free', 0).isAdmitted).to.equal(true)
   })
 
-  it('says when to come back', () => {
+  it('tells a refused client when to retry', () => {
     const state = createQuotaState({ ...tolerance, overshoot: 0, slack: 0 }, true)
     updateQuotas(state, [{ name: 'lab', keys: [], ratePerSecond: 10, burst: 1 }], singleVmDemand, 0)
     expect(admitOperation(state, 'lab', 0).isAdmitted).to.equal(true)
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -1,66 +1,67 @@
 import { computeRetryAfterMs, countAvailable, createBucket, replaceRate, reserveTokens, spendReserved, type TokenBucket } from '@camphorpitch/wire'
 import type { Workspace } from '../configuration/configuration.ts'
 
-/** Operations of a window that are added to what each VM was asked for, as few operations tell little of the next ones. */
+/** Operations per window that are added to each VM's demand when shares are computed, since a small count predicts the next window badly. */
 const PRIOR_OPERATIONS = 1
-/** Part of the tolerated slack that is spread over the VMs, so that few operations need not come evenly. */
+/** Fraction of the tolerated slack that the VMs together add to their bursts, so that a few operations need not arrive evenly. */
 const SLACK_HEADROOM_FRACTION = 0.5
-/** The same of what a large limit may be overshot by: it must also cover parts that do not add up while demand moves. */
+/** Fraction of the tolerated overshoot that the VMs together add to their bursts. The overshoot must also cover shares that do not add up to 1 while demand moves. */
 const OVERSHOOT_HEADROOM_FRACTION = 0.1
-/** Part of the spread where few VMs count: their parts are large, and the others may admit a little uncounted. */
+/** Fraction of that headroom where only a few VMs count a limit: their shares are large, and the other VMs may admit some operations uncounted. */
 const FEW_VMS_HEADROOM_FRACTION = 0.6
-/** Part of the tolerated excess that a restarted VM may use, as it does not know what it used before. */
+/** Fraction of the allowed excess that restarted VMs may use at once, as they do not know what was used before. */
 const RESTART_EXCESS_FRACTION = 0.1
-/** A workspace that asks for less than this part of its rate is calm: its limit is far from used up. */
+/** A workspace is near its limit if its demand reaches this fraction of its rate. */
 const NEAR_LIMIT_FRACTION = 0.8
-/** Part of a calm workspace's limit that all VMs together may admit in a round beyond their parts. */
+/** Fraction of the limit that all VMs together may admit beyond their shares in a round while the workspace is below its limit. */
 const OVERDRAFT_LIMIT_FRACTION = 0.05
-/** The same as a part of the tolerated excess: two rounds of it, the spread part and a restart's part fill the excess. */
+/** Upper bound of the overdraft, as a fraction of the allowed excess: two rounds of overdraft, the headroom and the operations after a restart fill the excess. */
 const OVERDRAFT_EXCESS_FRACTION = 0.15
-/** Part of its burst that a workspace may use right after a restart if it was calm before. */
+/** Fraction of its burst that a workspace may use right after a restart if it was below its limit before. */
 const RESTART_BURST_FRACTION = 0.7
-/** Part of its bucket that a calm workspace has left. */
+/** Smallest fraction of a bucket that must be left for other VMs to admit operations without asking first. */
 const MIN_RESERVE_FRACTION = 0.2
-/** Smallest rate of a bucket, in operations per millisecond; a limit of 0 admits nothing. */
+/** Smallest rate of a bucket, in operations per millisecond. A workspace with rate and burst 0 admits nothing even so, as its bucket holds nothing. */
 const MIN_RATE_PER_MS = 1e-6
 const MS_PER_SECOND = 1_000
 
 /** How far the count over a window may exceed the limit. */
 export interface QuotaTolerance {
   windowMs: number
-  /** Part of the limit. */
+  /** Excess as a fraction of the limit. */
   overshoot: number
-  /** Operations. */
+  /** Excess in operations, added to the overshoot. */
   slack: number
 }
 
-/** What is known of the demand on the whole fleet. */
+/** What this VM knows of the demand on the whole fleet. */
 export interface FleetDemand {
+  /** Number of VMs among which each limit is shared. */
   vms: number
-  /** Whether every VM was heard lately. */
+  /** Whether every VM has responded recently. */
   hasAllReports: boolean
-  /** Whether a few VMs count each limit, which others may take over from them. */
+  /** Whether only a few VMs count each limit; other VMs may take over from them when members change. */
   isCountedByFew: boolean
-  /** This VM's part of a workspace's limit; 0 where it counts nothing. */
+  /** This VM's share of a workspace's limit, as a fraction; 0 if it does not count the limit. */
   readShare: (workspace: string) => number
-  /** Operations of a workspace that all VMs were asked for in the last window. */
+  /** Operations of a workspace that were requested from all VMs in the last window. */
   readTotal: (workspace: string) => number
 }
 
-/** Operations that each VM was asked for in the last window, by workspace. */
+/** Operations requested from a VM in the last window, by workspace, whether admitted or refused. */
 export type Demand = ReadonlyMap<string, number>
 
 export interface QuotaState {
   tolerance: QuotaTolerance
-  /** Whether this process may start with full buckets, as nothing has been used yet. */
+  /** Whether the fleet starts for the first time: buckets may start full, as nothing has been used yet. */
   isFirstStart: boolean
-  /** Workspaces that are known not to have been calm before this process started; `null` while that is not known. */
+  /** Workspaces that were near their limit before this process started; `null` while that is not known. */
   nearLimitBeforeStart: ReadonlySet<string> | null
   startedAtMs: number
   buckets: Map<string, TokenBucket>
-  /** Operations that may be admitted beyond this VM's part until the next round. */
+  /** Operations that may be admitted beyond this VM's share until the next round, by workspace. */
   overdraft: Map<string, number>
-  /** Workspaces that are not calm now. */
+  /** Workspaces that are near their limit now, or above it. */
   pressed: Set<string>
 }
 
@@ -68,28 +69,31 @@
   return { tolerance, isFirstStart, nearLimitBeforeStart: null, startedAtMs: nowMs, buckets: new Map(), overdraft: new Map(), pressed: new Set() }
 }
 
-/** Takes in which workspaces were not calm before this process started; the others may use their burst at once. */
+/** Applies which workspaces were near their limit before this process started, and recreates the buckets: the other workspaces may use most of their burst at once. */
 export function applyNearLimitBeforeStart (state: QuotaState, nearLimit: Iterable<string>): void {
   state.nearLimitBeforeStart = new Set(nearLimit)
   state.buckets.clear()
 }
 
-/** Whether the workspace may have used up its limit before this process started, within the present window. */
+/** Whether the workspace may have used up its limit in the part of the current window that lies before this process started. */
 function isPriorUseUnknown (state: QuotaState, workspace: string, nowMs: number): boolean {
   const isRecentlyStarted = !state.isFirstStart && nowMs - state.startedAtMs < state.tolerance.windowMs
   return isRecentlyStarted && (state.nearLimitBeforeStart === null || state.nearLimitBeforeStart.has(workspace))
 }
 
 /**
- * This VM's part of a workspace's limit. The parts of all VMs add up to 1 where their views agree.
+ * Computes this VM's share of a workspace's limit, as a fraction. The shares of all VMs add up to 1 if they know the same demand.
  *
+ * @param own operations requested from this VM
+ * @param total operations requested from all VMs
+ * @param vms number of VMs
  * @example computeQuotaShare({ own: 30, total: 60, vms: 4 }) // 0.484...
  */
 export function computeQuotaShare ({ own, total, vms }: { own: number, total: number, vms: number }): number {
   return (own + PRIOR_OPERATIONS) / (total + PRIOR_OPERATIONS * Math.max(1, vms))
 }
 
-/** Takes in limits and demand, once a round; workspaces without a limit have no bucket. */
+/** Updates the buckets to the current limits and demand, once per round. Workspaces without a limit get no bucket. */
 export function updateQuotas (state: QuotaState, workspaces: readonly Workspace[], fleet: FleetDemand, nowMs: number): void {
   for (const workspace of workspaces) updateQuota(state, workspace, fleet, nowMs)
   const names = new Set(workspaces.map(w => w.name))
@@ -120,13 +124,13 @@
   updateOverdraft(state, name, { ratePerWindow, overdraftPerRound: Math.min(OVERDRAFT_LIMIT_FRACTION * (ratePerWindow + burst + slack), OVERDRAFT_EXCESS_FRACTION * allowedExcess) / fleet.vms }, fleet, nowMs)
 }
 
-/** Operations that this VM's bucket holds beyond its part of the burst. */
+/** Computes how many operations this VM's bucket holds beyond its share of the burst. */
 function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFew }: FleetDemand): number {
   const totalHeadroom = SLACK_HEADROOM_FRACTION * slack + OVERSHOOT_HEADROOM_FRACTION * limitPerWindow * overshoot
   return (isCountedByFew ? FEW_VMS_HEADROOM_FRACTION * totalHeadroom : totalHeadroom) / vms
 }
 
-/** Operations that a new bucket holds, by what may have been used of the limit before. */
+/** Computes how many operations a new bucket holds, depending on how much of the limit may have been used before. */
 function computeInitialLevel (state: QuotaState, name: string, levels: { localBurst: number, priorUseUnknown: number, wasBelowLimit: number }, fleet: FleetDemand, nowMs: number): number {
   const isSettled = nowMs - state.startedAtMs >= state.tolerance.windowMs
   if (fleet.isCountedByFew && isSettled) return state.pressed.has(name) ? levels.priorUseUnknown : levels.wasBelowLimit
@@ -134,7 +138,7 @@
   return state.isFirstStart ? levels.localBurst : levels.wasBelowLimit
 }
 
-/** While all VMs together are asked for well below the limit, one may go beyond its part a little. */
+/** Grants an overdraft while the demand on all VMs is below the limit, so that one VM may exceed its share a little. */
 function updateOverdraft (state: QuotaState, name: string, { ratePerWindow, overdraftPerRound }: { ratePerWindow: number, overdraftPerRound: number }, fleet: FleetDemand, nowMs: number): void {
   const isBelowLimit = fleet.readTotal(name) < NEAR_LIMIT_FRACTION * ratePerWindow
   if (isBelowLimit) state.pressed.delete(name)
@@ -144,10 +148,10 @@
   else state.overdraft.set(name, Math.min((state.overdraft.get(name) ?? 0) + overdraftPerRound, Math.max(1, overdraftPerRound)))
 }
 
-/** `isUncounted`: not refused for the limit, but because no VM that counts it answers. */
+/** `isUncounted` means that the operation was not refused for the limit, but because no VM that counts it responded. */
 export type QuotaVerdict = { isAdmitted: true } | { isAdmitted: false, retryAfterMs: number, isUncounted?: boolean }
 
-/** Counts one operation of a workspace against its limit, or refuses it. */
+/** Counts one operation of a workspace against this VM's share of its limit, or refuses it. Admits everything if this VM has no bucket for the workspace. */
 export function admitOperation (state: QuotaState, workspace: string, nowMs: number): QuotaVerdict {
   const bucket = state.buckets.get(workspace)
   if (bucket === undefined) return { isAdmitted: true }
@@ -161,7 +165,7 @@
   return { isAdmitted: true }
 }
 
-/** Counts an operation that has been admitted, also beyond the limit: what follows is refused for longer then. */
+/** Counts an operation that has already been admitted, even beyond the limit; later operations are then refused for longer. */
 export function countOperation (state: QuotaState, workspace: string, nowMs: number): void {
   const bucket = state.buckets.get(workspace)
   if (bucket === undefined) return
@@ -169,7 +173,7 @@
   spendReserved(bucket, 1, nowMs)
 }
 
-/** Whether enough of a workspace's limit is left that others need not ask first. */
+/** Whether enough of a workspace's limit is left here that other VMs may admit operations without asking first. */
 export function hasReserve (state: QuotaState, workspace: string, nowMs: number): boolean {
   const bucket = state.buckets.get(workspace)
   return bucket === undefined || countAvailable(bucket, nowMs) >= MIN_RESERVE_FRACTION * bucket.burst
