--- a/packages/gateway/src/failover/decide-promotion.test.ts
+++ b/packages/gateway/src/failover/decide-promotion.test.ts
@@ -2,58 +2,58 @@
 import { expect } from 'chai'
 import { findPromotionReason, pickCandidate, type FencedEndpoint, type PromotionEvidence } from './decide-promotion.ts'
 
-const calm: PromotionEvidence = {
+const healthy: PromotionEvidence = {
   hasPrimary: true,
   isRegistered: true,
   drainingMs: 0,
-  silenceMs: 0,
-  refusedMs: 0,
-  sinceHeardMs: 20,
+  unresponsiveMs: 0,
+  connectionRefusedMs: 0,
+  sinceLastResponseMs: 20,
   pendingWriteMs: 0,
   sinceAcknowledgedMs: 50,
-  leaderlessMs: 0,
-  isAlone: false,
+  withoutPrimaryMs: 0,
+  isIsolated: false,
   rank: 0,
   hasCandidate: true
 }
 
 describe('reasons to replace a primary', () => {
   it('finds none in calm, however long nobody writes', () => {
-    expect(findPromotionReason(calm)).to.equal(null)
-    expect(findPromotionReason({ ...calm, sinceHeardMs: 60_000, sinceAcknowledgedMs: 60_000 })).to.equal(null)
+    expect(findPromotionReason(healthy)).to.equal(null)
+    expect(findPromotionReason({ ...healthy, sinceLastResponseMs: 60_000, sinceAcknowledgedMs: 60_000 })).to.equal(null)
   })
 
   it('replaces a primary that nobody hears', () => {
-    expect(findPromotionReason({ ...calm, silenceMs: 800, sinceHeardMs: 800 })).to.equal('primary lost')
-    expect(findPromotionReason({ ...calm, refusedMs: 250, sinceHeardMs: 300 })).to.equal('primary lost')
-    expect(findPromotionReason({ ...calm, isRegistered: false, sinceHeardMs: 800 })).to.equal('primary lost')
+    expect(findPromotionReason({ ...healthy, unresponsiveMs: 800, sinceLastResponseMs: 800 })).to.equal('primary lost')
+    expect(findPromotionReason({ ...healthy, connectionRefusedMs: 250, sinceLastResponseMs: 300 })).to.equal('primary lost')
+    expect(findPromotionReason({ ...healthy, isRegistered: false, sinceLastResponseMs: 800 })).to.equal('primary lost')
   })
 
   it('leaves a primary that another VM hears', () => {
-    expect(findPromotionReason({ ...calm, silenceMs: 5_000, sinceHeardMs: 300 })).to.equal(null)
-    expect(findPromotionReason({ ...calm, refusedMs: 5_000, sinceHeardMs: 100 })).to.equal(null)
+    expect(findPromotionReason({ ...healthy, unresponsiveMs: 5_000, sinceLastResponseMs: 300 })).to.equal(null)
+    expect(findPromotionReason({ ...healthy, connectionRefusedMs: 5_000, sinceLastResponseMs: 100 })).to.equal(null)
   })
 
   it('replaces a primary whose writes are stuck on every VM', () => {
-    expect(findPromotionReason({ ...calm, pendingWriteMs: 1_400, sinceAcknowledgedMs: 1_400 })).to.equal('primary cut off from its replicas')
-    expect(findPromotionReason({ ...calm, pendingWriteMs: 1_400, sinceAcknowledgedMs: 100 })).to.equal(null)
+    expect(findPromotionReason({ ...healthy, pendingWriteMs: 1_400, sinceAcknowledgedMs: 1_400 })).to.equal('primary cut off from its replicas')
+    expect(findPromotionReason({ ...healthy, pendingWriteMs: 1_400, sinceAcknowledgedMs: 100 })).to.equal(null)
   })
 
   it('moves a draining primary, and chooses one where none is known', () => {
-    expect(findPromotionReason({ ...calm, drainingMs: 150 })).to.equal('primary draining')
-    expect(findPromotionReason({ ...calm, hasPrimary: false, leaderlessMs: 3_000 })).to.equal('no primary')
+    expect(findPromotionReason({ ...healthy, drainingMs: 150 })).to.equal('primary draining')
+    expect(findPromotionReason({ ...healthy, hasPrimary: false, withoutPrimaryMs: 3_000 })).to.equal('no primary')
   })
 
   it('does nothing without a candidate, or while it reaches no other VM', () => {
-    const lost = { ...calm, silenceMs: 5_000, sinceHeardMs: 5_000 }
+    const lost = { ...healthy, unresponsiveMs: 5_000, sinceLastResponseMs: 5_000 }
     expect(findPromotionReason({ ...lost, hasCandidate: false })).to.equal(null)
-    expect(findPromotionReason({ ...lost, isAlone: true })).to.equal(null)
+    expect(findPromotionReason({ ...lost, isIsolated: true })).to.equal(null)
   })
 
   it('lets VMs of lower rank go first, and none wait for long', () => {
-    const lost = { ...calm, silenceMs: 800, sinceHeardMs: 800 }
+    const lost = { ...healthy, unresponsiveMs: 800, sinceLastResponseMs: 800 }
     expect(findPromotionReason({ ...lost, rank: 3 })).to.equal(null)
-    expect(findPromotionReason({ ...lost, rank: 70, silenceMs: 1_700, sinceHeardMs: 1_700 })).to.equal('primary lost')
+    expect(findPromotionReason({ ...lost, rank: 70, unresponsiveMs: 1_700, sinceLastResponseMs: 1_700 })).to.equal('primary lost')
   })
 })
 
@@ -63,33 +63,33 @@
   return { endpoint, received: at(index), isDraining: false, ageMs: 60_000, isOldPrimary: false, ...options }
 }
 
-const everyone = { missing: 0, acknowledged: null, isEveryVmHeard: true }
+const allFenced = { unfencedReplicas: 0, acknowledged: null, isEveryVmHeard: true }
 
 describe('candidates for promotion', () => {
   it('takes the most advanced replica', () => {
-    expect(pickCandidate({ ...everyone, fenced: [createFenced('a', 5), createFenced('b', 9)] })?.endpoint).to.equal('b')
+    expect(pickCandidate({ ...allFenced, fenced: [createFenced('a', 5), createFenced('b', 9)] })?.endpoint).to.equal('b')
   })
 
   it('prefers one that stays among equals', () => {
-    expect(pickCandidate({ ...everyone, fenced: [createFenced('a', 9, { isDraining: true }), createFenced('b', 9)] })?.endpoint).to.equal('b')
+    expect(pickCandidate({ ...allFenced, fenced: [createFenced('a', 9, { isDraining: true }), createFenced('b', 9)] })?.endpoint).to.equal('b')
   })
 
   it('takes none while a replica is missing that may hold more', () => {
     const fenced = [createFenced('a', 9)]
-    expect(pickCandidate({ fenced, missing: 1, acknowledged: at(9), isEveryVmHeard: false })).to.equal(undefined)
-    expect(pickCandidate({ fenced, missing: 1, acknowledged: at(10), isEveryVmHeard: true })).to.equal(undefined)
-    expect(pickCandidate({ fenced, missing: 1, acknowledged: at(9), isEveryVmHeard: true })?.endpoint).to.equal('a')
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: false })).to.equal(undefined)
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(10), isEveryVmHeard: true })).to.equal(undefined)
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: true })?.endpoint).to.equal('a')
   })
 
   it('does not rely on a replica that has just started, empty', () => {
     const fenced = [createFenced('a', 4), createFenced('b', 0, { ageMs: 500 })]
-    expect(pickCandidate({ ...everyone, fenced, acknowledged: at(9) })).to.equal(undefined)
-    expect(pickCandidate({ ...everyone, fenced, acknowledged: at(4) })?.endpoint).to.equal('a')
+    expect(pickCandidate({ ...allFenced, fenced, acknowledged: at(9) })).to.equal(undefined)
+    expect(pickCandidate({ ...allFenced, fenced, acknowledged: at(4) })?.endpoint).to.equal('a')
   })
 
   it('takes the old primary\'s log for complete once it has stepped down', () => {
     const fenced = [createFenced('old', 9, { isOldPrimary: true, isDraining: true }), createFenced('a', 9)]
-    expect(pickCandidate({ fenced, missing: 1, acknowledged: null, isEveryVmHeard: false })?.endpoint).to.equal('a')
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: null, isEveryVmHeard: false })?.endpoint).to.equal('a')
   })
 
   /** Commits are acknowledged once one of the replicas has received them; some replicas are lost or restarted, and some VMs do not tell. */
@@ -99,9 +99,9 @@
       const received = [0, 0]
       let acknowledged = 0
       for (let index = 1; index <= 20; index++) {
-        const hearing = [random() < 0.8, random() < 0.8]
-        hearing.forEach((hears, i) => { if (hears) received[i] = index })
-        if (hearing.some(Boolean)) acknowledged = index
+        const receiving = [random() < 0.8, random() < 0.8]
+        receiving.forEach((receives, i) => { if (receives) received[i] = index })
+        if (receiving.some(Boolean)) acknowledged = index
         else break
       }
       const isRestarted = random() < 0.2
@@ -110,7 +110,7 @@
       const fenced = [createFenced('a', received[0]!), createFenced('b', received[1]!, { ageMs: isRestarted ? 800 : 60_000 })].slice(0, isMissing ? 1 : 2)
       const isEveryVmHeard = random() < 0.7
       const known = isEveryVmHeard ? acknowledged : Math.floor(random() * acknowledged)
-      const picked = pickCandidate({ fenced, missing: isMissing ? 1 : 0, acknowledged: at(known), isEveryVmHeard })
+      const picked = pickCandidate({ fenced, unfencedReplicas: isMissing ? 1 : 0, acknowledged: at(known), isEveryVmHeard })
       if (picked !== undefined) expect(picked.received.index, `run ${run}`).to.be.at.least(acknowledged)
     }
   })
--- a/packages/gateway/src/failover/duty-claim.test.ts
+++ b/packages/gateway/src/failover/duty-claim.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai'
 import { MemoryStore } from '../testing/memory-store.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
-import { CLAIM_TAKEOVER_MS, CLAIM_USE_MS, DutyClaims, type Claim } from './duty-claim.ts'
+import { CLAIM_TAKEOVER_MS, CLAIM_VALID_MS, DutyClaims, type Claim } from './duty-claim.ts'
 
 const logger = createLogger({ process: 'test', level: 'silent' })
 
@@ -29,10 +29,10 @@
     const [a, b] = [createClaims(store, clock, 'a'), createClaims(store, clock, 'b')]
     const first = (await a.claim('orders'))!
     expect(await b.claim('orders')).to.equal(null)
-    clock.nowMs += CLAIM_USE_MS
+    clock.nowMs += CLAIM_VALID_MS
     expect(a.isUsable(first)).to.equal(false)
     expect(await b.claim('orders')).to.equal(null)
-    clock.nowMs += CLAIM_TAKEOVER_MS - CLAIM_USE_MS
+    clock.nowMs += CLAIM_TAKEOVER_MS - CLAIM_VALID_MS
     expect(await b.claim('orders')).to.not.equal(null)
   })
 
@@ -54,7 +54,7 @@
       const store = new MemoryStore()
       const clock = new VirtualClock()
       const vms = ['a', 'b', 'c'].map(vm => ({ claims: createClaims(store, clock, vm), held: null as Claim | null }))
-      let highest = 0
+      let highestToken = 0
       for (let step = 0; step < 120; step++) {
         clock.nowMs += random() * 900
         store.isDown = random() < 0.1
@@ -65,8 +65,8 @@
           await vm.claims.release(vm.held)
           vm.held = null
         } else if (vm.claims.isUsable(vm.held)) {
-          expect(vm.held.fencingToken, `seed ${seed}`).to.be.at.least(highest)
-          highest = vm.held.fencingToken
+          expect(vm.held.fencingToken, `seed ${seed}`).to.be.at.least(highestToken)
+          highestToken = vm.held.fencingToken
         } else vm.held = null
       }
     }
--- a/packages/gateway/src/failover/duty-claim.ts
+++ b/packages/gateway/src/failover/duty-claim.ts
@@ -5,7 +5,7 @@
 /** A claim may be taken over once it has been seen unchanged for this long, in milliseconds. */
 export const CLAIM_TAKEOVER_MS = 4_000
 /** Its holder acts on it for this long at most, in milliseconds: well before it may be taken over. */
-export const CLAIM_USE_MS = 2_800
+export const CLAIM_VALID_MS = 2_800
 
 const claimSchema = z.object({ holder: z.string().nullable(), incarnation: z.number() })
 
@@ -26,7 +26,7 @@
   incarnation: number
 }
 
-interface SeenClaim { revision: number, sinceMs: number }
+interface ObservedClaim { revision: number, sinceMs: number }
 
 /**
  * Claims on the failover duty, one object of the store for each service, changed by conditional updates only.
@@ -35,7 +35,7 @@
  */
 export class DutyClaims {
   readonly #options: DutyClaimsOptions
-  readonly #seen = new Map<string, SeenClaim>()
+  readonly #observed = new Map<string, ObservedClaim>()
 
   constructor (options: DutyClaimsOptions) {
     this.#options = options
@@ -44,13 +44,13 @@
   /** @returns `null` when another VM holds the claim; rejects when the store does not answer */
   async claim (service: string): Promise<Claim | null> {
     const { store, clock, vm, incarnation } = this.#options
-    const name = formatName(service)
+    const name = formatObjectName(service)
     const current = await store.find('duties', name)
     if (current !== undefined && !this.#isFree(service, current)) return null
     const claimedAtMs = clock.readNow()
     try {
       const fencingToken = await store.write('duties', name, { holder: vm, incarnation }, current?.revision ?? null)
-      this.#seen.delete(service)
+      this.#observed.delete(service)
       return { service, fencingToken, claimedAtMs }
     } catch (error) {
       if (error instanceof RevisionConflictError) return null
@@ -59,14 +59,14 @@
   }
 
   isUsable (claim: Claim): boolean {
-    return this.#options.clock.readNow() - claim.claimedAtMs < CLAIM_USE_MS
+    return this.#options.clock.readNow() - claim.claimedAtMs < CLAIM_VALID_MS
   }
 
   /** Lets others claim at once. */
   async release (claim: Claim): Promise<void> {
     const { store, logger, incarnation } = this.#options
     try {
-      await store.write('duties', formatName(claim.service), { holder: null, incarnation }, claim.fencingToken)
+      await store.write('duties', formatObjectName(claim.service), { holder: null, incarnation }, claim.fencingToken)
     } catch (error) {
       logger.info('claim not released', { service: claim.service, reason: String(error) })
     }
@@ -77,13 +77,13 @@
     const claim = claimSchema.safeParse(value)
     if (!claim.success || claim.data.holder === null || claim.data.holder === vm) return true
     const nowMs = clock.readNow()
-    const seen = this.#seen.get(service)
-    if (seen?.revision === revision) return nowMs - seen.sinceMs >= CLAIM_TAKEOVER_MS
-    this.#seen.set(service, { revision, sinceMs: nowMs })
+    const observed = this.#observed.get(service)
+    if (observed?.revision === revision) return nowMs - observed.sinceMs >= CLAIM_TAKEOVER_MS
+    this.#observed.set(service, { revision, sinceMs: nowMs })
     return false
   }
 }
 
-function formatName (service: string): string {
+function formatObjectName (service: string): string {
   return `failover-${service}`
 }
--- a/packages/gateway/src/failover/failover-watch.ts
+++ b/packages/gateway/src/failover/failover-watch.ts
@@ -6,16 +6,16 @@
 import { findPromotionReason, type PromotionEvidence } from './decide-promotion.ts'
 import { runPromotion, type PromotionHost } from './run-promotion.ts'
 
-const TICK_MS = 100
+const CHECK_INTERVAL_MS = 100
 /** Silence of a primary after which fresh reports of other VMs are asked for, in milliseconds. */
-const DOUBT_AFTER_MS = 350
+const REPORT_POLL_AFTER_MS = 350
 /** After an attempt the next one of this VM begins no sooner, in milliseconds. */
 const ATTEMPT_INTERVAL_MS = 1_500
 /** Shortest time between two promotions of a service, in milliseconds; a new primary needs it to show itself. */
-const SETTLE_MS = 3_000
+const MIN_PROMOTION_INTERVAL_MS = 3_000
 /** Expected time from now to a new primary, in milliseconds, by how far a change is. */
-const RECOVERY_ONGOING_MS = 1_200
-const RECOVERY_AHEAD_MS = 2_000
+const RECOVERY_IN_ATTEMPT_MS = 1_200
+const RECOVERY_BEFORE_ATTEMPT_MS = 2_000
 
 export interface FailoverWatchOptions {
   clock: Clock
@@ -31,8 +31,8 @@
 /** Watches every group's primary and replaces it when need be. */
 export class FailoverWatch {
   readonly #options: FailoverWatchOptions
-  readonly #running = new Set<string>()
-  readonly #notBeforeMs = new Map<string, number>()
+  readonly #runningServices = new Set<string>()
+  readonly #nextAttemptMs = new Map<string, number>()
   #timer: NodeJS.Timeout | undefined
 
   constructor (options: FailoverWatchOptions) {
@@ -42,7 +42,7 @@
   start (): void {
     this.#timer = setInterval(() => {
       for (const group of this.#options.listGroups()) this.#checkGroup(group)
-    }, TICK_MS)
+    }, CHECK_INTERVAL_MS)
   }
 
   stop (): void {
@@ -51,36 +51,36 @@
 
   /** Takes in that a primary was found or promoted: no other change is due for a while. */
   recordChange (service: string): void {
-    this.#notBeforeMs.set(service, this.#options.clock.readNow() + SETTLE_MS)
+    this.#nextAttemptMs.set(service, this.#options.clock.readNow() + MIN_PROMOTION_INTERVAL_MS)
   }
 
   /** Milliseconds until the group is likely to take writes; 0 while it does. */
   estimateRecoveryMs (group: ServiceGroup): number {
-    if (this.#running.has(group.service)) return RECOVERY_ONGOING_MS
-    return group.isWritable ? 0 : RECOVERY_AHEAD_MS
+    if (this.#runningServices.has(group.service)) return RECOVERY_IN_ATTEMPT_MS
+    return group.isWritable ? 0 : RECOVERY_BEFORE_ATTEMPT_MS
   }
 
   #checkGroup (group: ServiceGroup): void {
     const { service } = group
     const nowMs = this.#options.clock.readNow()
     // A VM that has been asked to revoke its trust leaves the change to the one that asked.
-    if (this.#running.has(service) || isRevoked(group.state, nowMs)) return
+    if (this.#runningServices.has(service) || isRevoked(group.state, nowMs)) return
     const evidence = this.#collectEvidence(group, nowMs)
-    if (evidence.silenceMs >= DOUBT_AFTER_MS || evidence.refusedMs > 0) this.#options.poll()
-    if (nowMs < (this.#notBeforeMs.get(service) ?? -Infinity)) return
+    if (evidence.unresponsiveMs >= REPORT_POLL_AFTER_MS || evidence.connectionRefusedMs > 0) this.#options.poll()
+    if (nowMs < (this.#nextAttemptMs.get(service) ?? -Infinity)) return
     const reason = findPromotionReason(evidence)
     if (reason === null) return
     this.#options.logger.warn('primary to be replaced', { service, reason, primary: group.state.primary, ...evidence })
-    this.#running.add(service)
-    this.#notBeforeMs.set(service, nowMs + ATTEMPT_INTERVAL_MS)
+    this.#runningServices.add(service)
+    this.#nextAttemptMs.set(service, nowMs + ATTEMPT_INTERVAL_MS)
     runPromotion(this.#options.host, group, reason).then(promoted => {
       this.#options.recordResult(service, promoted === null ? 'none' : 'promoted')
       if (promoted !== null) this.recordChange(service)
     }, (error: unknown) => {
       this.#options.logger.info('promotion not begun', { service, reason: describeError(error) })
     }).finally(() => {
-      this.#running.delete(service)
-      this.#notBeforeMs.set(service, Math.max(this.#notBeforeMs.get(service) ?? 0, this.#options.clock.readNow() + ATTEMPT_INTERVAL_MS / 3))
+      this.#runningServices.delete(service)
+      this.#nextAttemptMs.set(service, Math.max(this.#nextAttemptMs.get(service) ?? 0, this.#options.clock.readNow() + ATTEMPT_INTERVAL_MS / 3))
     })
   }
 
@@ -90,18 +90,18 @@
     const views = [...peers.values()]
     const health = primaryPool?.health
     const candidates = [...group.pools.values()].filter(p => p !== primaryPool && !p.entry.isDraining)
-    const ownPendingMs = group.unansweredWriteSinceMs === null ? 0 : nowMs - group.unansweredWriteSinceMs
+    const localPendingMs = group.unansweredWriteSinceMs === null ? 0 : nowMs - group.unansweredWriteSinceMs
     return {
       hasPrimary: state.primary !== null,
       isRegistered: primaryPool !== undefined,
       drainingMs: primaryPool?.measureDraining(nowMs) ?? 0,
-      silenceMs: health === undefined ? 0 : measureSilence(health, nowMs),
-      refusedMs: health?.refusedSinceMs == null ? 0 : nowMs - health.refusedSinceMs,
-      sinceHeardMs: nowMs - Math.max(state.heardAtMs, health?.heardAtMs ?? -Infinity, ...views.map(v => v.heardAtMs)),
-      pendingWriteMs: Math.max(ownPendingMs, ...views.map(v => v.pendingWriteMs)),
+      unresponsiveMs: health === undefined ? 0 : measureSilence(health, nowMs),
+      connectionRefusedMs: health?.refusedSinceMs == null ? 0 : nowMs - health.refusedSinceMs,
+      sinceLastResponseMs: nowMs - Math.max(state.heardAtMs, health?.heardAtMs ?? -Infinity, ...views.map(v => v.heardAtMs)),
+      pendingWriteMs: Math.max(localPendingMs, ...views.map(v => v.pendingWriteMs)),
       sinceAcknowledgedMs: nowMs - Math.max(state.acknowledgedAtMs, ...views.map(v => v.acknowledgedAtMs)),
-      leaderlessMs: group.leaderlessSinceMs === null ? 0 : nowMs - group.leaderlessSinceMs,
-      isAlone: listHeard(members, nowMs).length === 0 && listPossible(members, nowMs).length > 0,
+      withoutPrimaryMs: group.leaderlessSinceMs === null ? 0 : nowMs - group.leaderlessSinceMs,
+      isIsolated: listHeard(members, nowMs).length === 0 && listPossible(members, nowMs).length > 0,
       rank: computeRank(members, group.service, nowMs),
       hasCandidate: candidates.length > 0
     }
--- a/packages/gateway/src/failover/run-promotion.ts
+++ b/packages/gateway/src/failover/run-promotion.ts
@@ -10,17 +10,17 @@
 import type { Claim, DutyClaims } from './duty-claim.ts'
 
 /** Time for other VMs to confirm that they no longer trust the primary, in milliseconds. */
-const REVOKE_WAIT_MS = 250
+const REVOKE_TIMEOUT_MS = 250
 /** The same where statements that run at the primary may end first. */
-const PLANNED_REVOKE_WAIT_MS = 700
+const PLANNED_REVOKE_TIMEOUT_MS = 700
 /** Time for replicas to receive all of a primary that has stepped down, in milliseconds. */
-const CATCH_UP_WAIT_MS = 600
+const CATCH_UP_TIMEOUT_MS = 600
 const STATUS_INTERVAL_MS = 100
 const PROMOTE_TIMEOUT_MS = 700
 /** Time for a promotion to take effect, in milliseconds. */
-const EFFECT_WAIT_MS = 3_500
-const BUSY_TRIES = 4
-const BUSY_PAUSE_MS = 25
+const PROMOTION_EFFECT_TIMEOUT_MS = 3_500
+const MAX_BUSY_ATTEMPTS = 4
+const RETRY_DELAY_MS = 25
 
 export interface Revocation {
   /** Whether every VM that may be running has confirmed. */
@@ -49,10 +49,10 @@
   claim: Claim
   /** Term that the fenced endpoints were told. */
   term: number
-  old: EndpointEntry | undefined
+  oldPrimary: EndpointEntry | undefined
   replicas: EndpointEntry[]
   /** When the new primary was last seen to lead. */
-  ledAtMs: number
+  leadershipSeenAtMs: number
 }
 
 /**
@@ -72,9 +72,9 @@
     return null
   }
   const entries = [...group.pools.values()].map(p => p.entry)
-  const old = entries.find(e => e.endpoint === group.state.primary?.endpoint)
-  const attempt: Attempt = { host, group, reason, claim, old, replicas: entries.filter(e => e !== old), ledAtMs: -Infinity, term: (group.state.primary?.term ?? 0) + 1 }
-  host.logger.warn('promotion begins', { service: group.service, reason, old: old?.endpoint, term: attempt.term, fencingToken: claim.fencingToken })
+  const oldPrimary = entries.find(e => e.endpoint === group.state.primary?.endpoint)
+  const attempt: Attempt = { host, group, reason, claim, oldPrimary, replicas: entries.filter(e => e !== oldPrimary), leadershipSeenAtMs: -Infinity, term: (group.state.primary?.term ?? 0) + 1 }
+  host.logger.warn('promotion begins', { service: group.service, reason, oldPrimary: oldPrimary?.endpoint, term: attempt.term, fencingToken: claim.fencingToken })
   let promoted: string | null = null
   try {
     promoted = await promoteCandidate(attempt)
@@ -89,15 +89,15 @@
   const { host, group, reason } = attempt
   const isPlanned = reason === 'primary draining'
   await updateTerm(attempt)
-  const revoking = host.revoke(group, attempt.term, isPlanned, isPlanned ? PLANNED_REVOKE_WAIT_MS : REVOKE_WAIT_MS)
-  if (isPlanned) await revoking
-  const fenced = isPlanned ? await fencePlanned(attempt) : await fenceReplicas(attempt)
+  const pendingRevocation = host.revoke(group, attempt.term, isPlanned, isPlanned ? PLANNED_REVOKE_TIMEOUT_MS : REVOKE_TIMEOUT_MS)
+  if (isPlanned) await pendingRevocation
+  const fenced = isPlanned ? await fencePlannedChange(attempt) : await fenceReplicas(attempt)
   const fencedAtMs = host.clock.readNow()
-  const revocation = await revoking
+  const revocation = await pendingRevocation
   if (!revocation.isEveryVmHeard) await waitForLeases(attempt, fencedAtMs)
-  const missing = isPlanned ? 0 : attempt.replicas.length - fenced.filter(f => !f.isOldPrimary).length
-  const candidate = pickCandidate({ fenced, missing, ...revocation })
-  host.logger.info('promotion candidate', { service: group.service, candidate: candidate?.endpoint, fenced, missing, ...revocation })
+  const unfencedReplicas = isPlanned ? 0 : attempt.replicas.length - fenced.filter(f => !f.isOldPrimary).length
+  const candidate = pickCandidate({ fenced, unfencedReplicas, ...revocation })
+  host.logger.info('promotion candidate', { service: group.service, candidate: candidate?.endpoint, fenced, unfencedReplicas, ...revocation })
   if (candidate === undefined) return null
   return await requestPromotion(attempt, candidate.endpoint)
 }
@@ -105,16 +105,16 @@
 /** A term that none of the group has seen; the primary's is not known before it has been asked. */
 async function updateTerm (attempt: Attempt): Promise<void> {
   if (attempt.term > 1) return
-  const known = await runOnAll(attempt, attempt.replicas, async c => await c.readStatus())
-  attempt.term = Math.max(1, ...known.map(({ status }) => Math.max(status.term, status.pausedForTerm) + 1))
+  const statuses = await runOnAll(attempt, attempt.replicas, async c => await c.readStatus())
+  attempt.term = Math.max(1, ...statuses.map(({ status }) => Math.max(status.term, status.pausedForTerm) + 1))
 }
 
 async function fenceReplicas (attempt: Attempt): Promise<FencedEndpoint[]> {
-  const { host, old, replicas, term } = attempt
-  const steppingDown = old === undefined ? Promise.resolve([]) : runOnAll(attempt, [old], async c => await c.demote(term))
+  const { host, oldPrimary, replicas, term } = attempt
+  const steppingDown = oldPrimary === undefined ? Promise.resolve([]) : runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
   const paused = await runOnAll(attempt, replicas, async c => await c.pause(term))
-  const isHeld = (s: EndpointStatus): boolean => s.role === 'replica' && s.pausedForTerm >= term
-  const fenced = paused.filter(({ status }) => isHeld(status)).map(({ entry, status }) => describeFenced(entry, status, false))
+  const isPaused = (s: EndpointStatus): boolean => s.role === 'replica' && s.pausedForTerm >= term
+  const fenced = paused.filter(({ status }) => isPaused(status)).map(({ entry, status }) => describeFenced(entry, status, false))
   if (fenced.length === replicas.length) return fenced
   host.logger.info('replica not fenced', { service: attempt.group.service, term, paused: paused.map(p => ({ endpoint: p.entry.endpoint, ...p.status })) })
   const steppedDown = await steppingDown
@@ -122,19 +122,19 @@
 }
 
 /** The old primary still works: it steps down, then its replicas receive all that it has. */
-async function fencePlanned (attempt: Attempt): Promise<FencedEndpoint[]> {
-  const { host, old, replicas, term } = attempt
-  if (old === undefined) return []
-  const [steppedDown] = await runOnAll(attempt, [old], async c => await c.demote(term))
+async function fencePlannedChange (attempt: Attempt): Promise<FencedEndpoint[]> {
+  const { host, oldPrimary, replicas, term } = attempt
+  if (oldPrimary === undefined) return []
+  const [steppedDown] = await runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
   if (steppedDown === undefined || steppedDown.status.role !== 'replica') return []
   const { received } = steppedDown.status
-  const untilMs = host.clock.readNow() + CATCH_UP_WAIT_MS
+  const untilMs = host.clock.readNow() + CATCH_UP_TIMEOUT_MS
   for (;;) {
-    const known = await runOnAll(attempt, replicas, async c => await c.readStatus())
-    const complete = known.filter(({ status }) => comparePositions(status.received, received) >= 0).map(({ entry, status }) => describeFenced(entry, status, false))
-    if (complete.length > 0) return [...complete, describeFenced(old, steppedDown.status, true)]
-    if (host.clock.readNow() >= untilMs) return [describeFenced(old, steppedDown.status, true)]
-    await waitFor(BUSY_PAUSE_MS)
+    const statuses = await runOnAll(attempt, replicas, async c => await c.readStatus())
+    const caughtUp = statuses.filter(({ status }) => comparePositions(status.received, received) >= 0).map(({ entry, status }) => describeFenced(entry, status, false))
+    if (caughtUp.length > 0) return [...caughtUp, describeFenced(oldPrimary, steppedDown.status, true)]
+    if (host.clock.readNow() >= untilMs) return [describeFenced(oldPrimary, steppedDown.status, true)]
+    await waitFor(RETRY_DELAY_MS)
   }
 }
 
@@ -149,8 +149,8 @@
   host.logger.info('waiting for leases to end', { service: group.service, waitMs: Math.round(waitMs) })
   if (waitMs > 0) await waitFor(waitMs)
   if (attempt.reason === 'primary draining') return
-  const held = await runOnAll(attempt, attempt.replicas, async c => await c.pause(term))
-  if (held.some(({ status }) => status.role === 'primary')) throw new Error('another endpoint leads already')
+  const paused = await runOnAll(attempt, attempt.replicas, async c => await c.pause(term))
+  if (paused.some(({ status }) => status.role === 'primary')) throw new Error('another endpoint leads already')
 }
 
 async function requestPromotion (attempt: Attempt, endpoint: string): Promise<string | null> {
@@ -167,40 +167,40 @@
 }
 
 async function waitForEffect (attempt: Attempt, endpoint: string): Promise<string | null> {
-  const { host, group, replicas, old } = attempt
-  const entry = [...replicas, ...old === undefined ? [] : [old]].find(e => e.endpoint === endpoint)
-  const untilMs = host.clock.readNow() + EFFECT_WAIT_MS
+  const { host, group, replicas, oldPrimary } = attempt
+  const entry = [...replicas, ...oldPrimary === undefined ? [] : [oldPrimary]].find(e => e.endpoint === endpoint)
+  const untilMs = host.clock.readNow() + PROMOTION_EFFECT_TIMEOUT_MS
   if (entry === undefined) return null
   while (host.clock.readNow() < untilMs) {
     await waitFor(STATUS_INTERVAL_MS)
-    const askedAtMs = host.clock.readNow()
+    const sentAtMs = host.clock.readNow()
     const [known] = await runOnAll(attempt, [entry], async c => await c.readStatus())
     if (known?.status.role !== 'primary') continue
     host.logger.warn('promotion took effect', { service: group.service, endpoint, term: known.status.term })
     attempt.term = known.status.term
-    attempt.ledAtMs = askedAtMs
+    attempt.leadershipSeenAtMs = sentAtMs
     return endpoint
   }
   return null
 }
 
 async function finishAttempt (attempt: Attempt, promoted: string | null): Promise<void> {
-  const { host, group, claim, replicas, old, term } = attempt
-  host.publishOutcome(group, promoted, term, attempt.ledAtMs)
+  const { host, group, claim, replicas, oldPrimary, term } = attempt
+  host.publishOutcome(group, promoted, term, attempt.leadershipSeenAtMs)
   const others = replicas.filter(e => e.endpoint !== promoted)
   await runOnAll(attempt, others, async c => await c.resume())
-  if (old !== undefined && promoted !== null && promoted !== old.endpoint) await runOnAll(attempt, [old], async c => await c.demote(term))
+  if (oldPrimary !== undefined && promoted !== null && promoted !== oldPrimary.endpoint) await runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
   await host.claims.release(claim)
 }
 
 /** Runs a command on several endpoints at once. @returns the answers of those that gave one */
 async function runOnAll (attempt: Attempt, entries: readonly EndpointEntry[], command: ControlCommand): Promise<Array<{ entry: EndpointEntry, status: EndpointStatus }>> {
-  const answers = await Promise.all(entries.map(async entry => ({ entry, status: await runPatiently(attempt, entry, command) })))
-  return answers.flatMap(({ entry, status }) => status === null ? [] : [{ entry, status }])
+  const results = await Promise.all(entries.map(async entry => ({ entry, status: await runWithRetries(attempt, entry, command) })))
+  return results.flatMap(({ entry, status }) => status === null ? [] : [{ entry, status }])
 }
 
-async function runPatiently ({ host }: Attempt, entry: EndpointEntry, command: ControlCommand): Promise<EndpointStatus | null> {
-  for (let tries = 1; tries <= BUSY_TRIES; tries++) {
+async function runWithRetries ({ host }: Attempt, entry: EndpointEntry, command: ControlCommand): Promise<EndpointStatus | null> {
+  for (let attempts = 1; attempts <= MAX_BUSY_ATTEMPTS; attempts++) {
     try {
       const status = await host.control.run(entry, command)
       if (status !== null) return status
@@ -208,7 +208,7 @@
       host.logger.info('control command not answered', { endpoint: entry.endpoint, reason: describeError(error) })
       return null
     }
-    await waitFor(BUSY_PAUSE_MS)
+    await waitFor(RETRY_DELAY_MS)
   }
   return null
 }
--- a/packages/gateway/src/failover/verify-leadership.test.ts
+++ b/packages/gateway/src/failover/verify-leadership.test.ts
@@ -20,7 +20,7 @@
   }
 }
 
-function createWorld (startedAtMs = 0): { connector: FakeConnector, clock: VirtualClock, group: ServiceGroup, questions: LeadershipQuestions } {
+function createFixture (startedAtMs = 0): { connector: FakeConnector, clock: VirtualClock, group: ServiceGroup, verifier: LeadershipQuestions } {
   const connector = new FakeConnector()
   const clock = new VirtualClock()
   clock.nowMs = 10_000
@@ -30,53 +30,53 @@
   for (const endpoint of ['a', 'b']) group.updateEntry({ ...entry, endpoint, role: 'replica' })
   updatePrimary(group.state, 'p', 1)
   connector.statuses.set('p', { role: 'primary' })
-  return { connector, clock, group, questions: new LeadershipQuestions({ clock, logger, control: new ControlConnections(connector) }) }
+  return { connector, clock, group, verifier: new LeadershipQuestions({ clock, logger, control: new ControlConnections(connector) }) }
 }
 
 describe('questions about who leads', () => {
   it('take a replica that follows and is not paused for proof', async () => {
-    const { group, questions, clock, connector } = createWorld()
+    const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('a', { pausedForTerm: 2 })
-    await questions.verifyLeadership(group, 1_000)
+    await verifier.verifyLeadership(group, 1_000)
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(true)
   })
 
   it('take none that is paused or follows another term', async () => {
-    const { group, questions, clock, connector } = createWorld()
+    const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('a', { pausedForTerm: 2 })
     connector.statuses.set('b', { term: 2 })
-    await questions.verifyLeadership(group, 1_000)
+    await verifier.verifyLeadership(group, 1_000)
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(false)
   })
 
   it('want all replicas where each has just started, as one may have forgotten its pause', async () => {
-    const { group, questions, clock, connector } = createWorld(Date.now())
+    const { group, verifier, clock, connector } = createFixture(Date.now())
     connector.statuses.set('a', { pausedForTerm: 2 })
-    await questions.verifyLeadership(group, 1_000)
+    await verifier.verifyLeadership(group, 1_000)
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(false)
     clock.nowMs += 1_000
     connector.statuses.set('a', {})
-    await questions.verifyLeadership(group, 1_000)
+    await verifier.verifyLeadership(group, 1_000)
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(true)
   })
 
   it('find a new primary, and that there is none', async () => {
-    const { group, questions, clock, connector } = createWorld()
+    const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('p', { role: 'replica' })
     connector.statuses.set('b', { role: 'primary', term: 2 })
-    await questions.findPrimary(group)
+    await verifier.findPrimary(group)
     expect(group.state.primary).to.deep.equal({ endpoint: 'b', term: 2 })
     clock.nowMs += 1_000
     connector.statuses.set('b', { role: 'replica', term: 2 })
-    await questions.findPrimary(group)
+    await verifier.findPrimary(group)
     expect(group.state.primary).to.equal(null)
   })
 
   it('do not forget the primary while a change is under way', async () => {
-    const { group, questions, clock, connector } = createWorld()
+    const { group, verifier, clock, connector } = createFixture()
     revokeTrust(group.state, 'p', 2, clock.nowMs)
     connector.statuses.set('p', { role: 'replica' })
-    await questions.findPrimary(group)
+    await verifier.findPrimary(group)
     expect(group.state.primary?.endpoint).to.equal('p')
   })
 })
--- a/packages/gateway/src/failover/verify-leadership.ts
+++ b/packages/gateway/src/failover/verify-leadership.ts
@@ -6,9 +6,9 @@
 import type { ControlConnections } from './control-connections.ts'
 
 /** A replica that started less than this ago may have forgotten that it was paused, in milliseconds. */
-const YOUNG_AFTER_MS = 10_000
+const RECENT_START_MS = 10_000
 /** A group is asked again no sooner than this, in milliseconds. */
-const ASK_INTERVAL_MS = 200
+const MIN_QUERY_INTERVAL_MS = 200
 
 export interface LeadershipQuestionsOptions {
   clock: Clock
@@ -25,7 +25,7 @@
 export class LeadershipQuestions {
   readonly #options: LeadershipQuestionsOptions
   readonly #running = new Map<string, Promise<void>>()
-  readonly #askedAtMs = new Map<string, number>()
+  readonly #queriedAtMs = new Map<string, number>()
 
   constructor (options: LeadershipQuestionsOptions) {
     this.#options = options
@@ -33,18 +33,18 @@
 
   /** Returns once the group has been asked, or after `waitMs`. */
   async verifyLeadership (group: ServiceGroup, waitMs: number): Promise<void> {
-    await Promise.race([this.#runOnce(`prove ${group.service}`, async () => await this.#pollReplicas(group)), waitFor(waitMs)])
+    await Promise.race([this.#runOnce(`prove ${group.service}`, async () => await this.#verifyWithReplicas(group)), waitFor(waitMs)])
   }
 
   /** Asks all endpoints for their role and takes in who leads. */
   async findPrimary (group: ServiceGroup): Promise<void> {
     await this.#runOnce(`find ${group.service}`, async () => {
       const roles = await Promise.all([...group.pools.values()].map(async p => await this.checkRole(group, p.entry)))
-      const isLeader = roles.includes('primary')
-      const believed = [...group.pools.keys()].indexOf(group.state.primary?.endpoint ?? '')
+      const hasLeader = roles.includes('primary')
+      const primaryIndex = [...group.pools.keys()].indexOf(group.state.primary?.endpoint ?? '')
       // While a promoter is at work nobody leads for a moment, and its outcome will tell who does.
-      const isChanging = isRevoked(group.state, this.#options.clock.readNow())
-      if (!isLeader && !isChanging && roles[believed] === 'replica') group.resetPrimary()
+      const isBeingReplaced = isRevoked(group.state, this.#options.clock.readNow())
+      if (!hasLeader && !isBeingReplaced && roles[primaryIndex] === 'replica') group.resetPrimary()
     })
   }
 
@@ -55,7 +55,7 @@
     return status?.role ?? null
   }
 
-  async #pollReplicas (group: ServiceGroup): Promise<void> {
+  async #verifyWithReplicas (group: ServiceGroup): Promise<void> {
     const primary = group.state.primary
     const sentAtMs = this.#options.clock.readNow()
     const pools = [...group.pools.values()]
@@ -70,11 +70,11 @@
       if (current === null || !isFollowing) throw new Error(`${entry.endpoint} does not prove it`)
       return entry
     }
-    const verified = replicas.map(p => ({ entry: p.entry, proof: verify(p.entry) }))
-    const settled = verified.filter(v => Date.now() - v.entry.startedAtMs >= YOUNG_AFTER_MS).map(v => v.proof)
+    const proofs = replicas.map(p => ({ entry: p.entry, proof: verify(p.entry) }))
+    const provenByOne = proofs.filter(v => Date.now() - v.entry.startedAtMs >= RECENT_START_MS).map(v => v.proof)
     try {
       // All replicas together prove it also where each has started lately: they did not all forget a pause.
-      await Promise.any([...settled, ...verified.length > 1 ? [Promise.all(verified.map(v => v.proof))] : []])
+      await Promise.any([...provenByOne, ...proofs.length > 1 ? [Promise.all(proofs.map(v => v.proof))] : []])
       recordLeadership(group.state, primary.endpoint, sentAtMs)
       this.#options.logger.info('leadership proven', { service: group.service, primary: primary.endpoint, term: group.state.primary?.term, asked: replicas.length })
     } catch {
@@ -91,14 +91,14 @@
     }
   }
 
-  async #runOnce (name: string, ask: () => Promise<void>): Promise<void> {
+  async #runOnce (name: string, query: () => Promise<void>): Promise<void> {
     const running = this.#running.get(name)
     if (running !== undefined) return await running
     const nowMs = this.#options.clock.readNow()
-    if (nowMs - (this.#askedAtMs.get(name) ?? -Infinity) < ASK_INTERVAL_MS) return
-    this.#askedAtMs.set(name, nowMs)
-    const asking = ask().finally(() => this.#running.delete(name))
-    this.#running.set(name, asking)
-    await asking
+    if (nowMs - (this.#queriedAtMs.get(name) ?? -Infinity) < MIN_QUERY_INTERVAL_MS) return
+    this.#queriedAtMs.set(name, nowMs)
+    const pendingQuery = query().finally(() => this.#running.delete(name))
+    this.#running.set(name, pendingQuery)
+    await pendingQuery
   }
 }
