--- a/packages/gateway/src/failover/control-connections.ts
+++ b/packages/gateway/src/failover/control-connections.ts
@@ -3,18 +3,19 @@
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
 import { waitAtMost } from '../runtime/wait-at-most.ts'
 
-/** As whom control connections are opened; no client's statement runs on them. */
+/** Workspace for which control connections are opened. It is not a customer's: no client's statement runs on them. */
 const CONTROL_WORKSPACE = '-'
 const CONNECT_TIMEOUT_MS = 500
 const RESPONSE_TIMEOUT_MS = 400
-/** A control connection is closed after this long without use, in milliseconds. */
+/** A control connection is closed after it was unused for this long. */
 const IDLE_TIMEOUT_MS = 1_500
 
+/** Runs one command on an open connection; resolves to `null` if the endpoint was too busy or refused it. */
 export type ControlCommand = (connection: EndpointConnection) => Promise<EndpointStatus | null>
 
 interface CachedConnection { connection: Promise<EndpointConnection>, timer: NodeJS.Timeout | undefined }
 
-/** Connections for questions and commands to endpoints, opened when needed. */
+/** Connections for status requests and commands to endpoints. They are opened when needed and reused until idle. */
 export class ControlConnections {
   readonly #connector: EndpointConnector
   readonly #cached = new Map<string, CachedConnection>()
@@ -24,14 +25,16 @@
   }
 
   /**
-   * @returns `null` when the endpoint was too busy or refused
-   * @throws ConnectionLostError when it did not answer
+   * Runs a command on the endpoint.
+   *
+   * @returns `null` if the endpoint was too busy or refused the command
+   * @throws ConnectionLostError if the endpoint did not respond in time
    */
   async run (entry: EndpointEntry, command: ControlCommand): Promise<EndpointStatus | null> {
     const cached = this.#acquire(entry)
     clearTimeout(cached.timer)
     try {
-      return await waitAtMost(command(await cached.connection), RESPONSE_TIMEOUT_MS, () => new ConnectionLostError('no answer to a control command'))
+      return await waitAtMost(command(await cached.connection), RESPONSE_TIMEOUT_MS, () => new ConnectionLostError('no response to a control command in time'))
     } catch (error) {
       this.#drop(entry.endpoint)
       throw error
--- a/packages/gateway/src/failover/decide-promotion.test.ts
+++ b/packages/gateway/src/failover/decide-promotion.test.ts
@@ -17,40 +17,40 @@
   hasCandidate: true
 }
 
-describe('reasons to replace a primary', () => {
-  it('finds none in calm, however long nobody writes', () => {
+describe('findPromotionReason', () => {
+  it('finds none while the primary is healthy, however long it has received no statement', () => {
     expect(findPromotionReason(healthy)).to.equal(null)
     expect(findPromotionReason({ ...healthy, sinceLastResponseMs: 60_000, sinceAcknowledgedMs: 60_000 })).to.equal(null)
   })
 
-  it('replaces a primary that nobody hears', () => {
+  it('replaces a primary that responds to no VM', () => {
     expect(findPromotionReason({ ...healthy, unresponsiveMs: 800, sinceLastResponseMs: 800 })).to.equal('primary lost')
     expect(findPromotionReason({ ...healthy, connectionRefusedMs: 250, sinceLastResponseMs: 300 })).to.equal('primary lost')
     expect(findPromotionReason({ ...healthy, isRegistered: false, sinceLastResponseMs: 800 })).to.equal('primary lost')
   })
 
-  it('leaves a primary that another VM hears', () => {
+  it('keeps a primary that responds to another VM', () => {
     expect(findPromotionReason({ ...healthy, unresponsiveMs: 5_000, sinceLastResponseMs: 300 })).to.equal(null)
     expect(findPromotionReason({ ...healthy, connectionRefusedMs: 5_000, sinceLastResponseMs: 100 })).to.equal(null)
   })
 
-  it('replaces a primary whose writes are stuck on every VM', () => {
+  it('replaces a primary that acknowledges no write of any VM', () => {
     expect(findPromotionReason({ ...healthy, pendingWriteMs: 1_400, sinceAcknowledgedMs: 1_400 })).to.equal('primary cut off from its replicas')
     expect(findPromotionReason({ ...healthy, pendingWriteMs: 1_400, sinceAcknowledgedMs: 100 })).to.equal(null)
   })
 
-  it('moves a draining primary, and chooses one where none is known', () => {
+  it('replaces a draining primary, and chooses a primary if none is known', () => {
     expect(findPromotionReason({ ...healthy, drainingMs: 150 })).to.equal('primary draining')
     expect(findPromotionReason({ ...healthy, hasPrimary: false, withoutPrimaryMs: 3_000 })).to.equal('no primary')
   })
 
-  it('does nothing without a candidate, or while it reaches no other VM', () => {
+  it('finds none without a candidate, or while the VM reaches no other VM', () => {
     const lost = { ...healthy, unresponsiveMs: 5_000, sinceLastResponseMs: 5_000 }
     expect(findPromotionReason({ ...lost, hasCandidate: false })).to.equal(null)
     expect(findPromotionReason({ ...lost, isIsolated: true })).to.equal(null)
   })
 
-  it('lets VMs of lower rank go first, and none wait for long', () => {
+  it('delays VMs of higher rank, for a limited time', () => {
     const lost = { ...healthy, unresponsiveMs: 800, sinceLastResponseMs: 800 }
     expect(findPromotionReason({ ...lost, rank: 3 })).to.equal(null)
     expect(findPromotionReason({ ...lost, rank: 70, unresponsiveMs: 1_700, sinceLastResponseMs: 1_700 })).to.equal('primary lost')
@@ -65,35 +65,35 @@
 
 const allFenced = { unfencedReplicas: 0, acknowledged: null, isEveryVmHeard: true }
 
-describe('candidates for promotion', () => {
-  it('takes the most advanced replica', () => {
+describe('pickCandidate', () => {
+  it('picks the most advanced replica', () => {
     expect(pickCandidate({ ...allFenced, fenced: [createFenced('a', 5), createFenced('b', 9)] })?.endpoint).to.equal('b')
   })
 
-  it('prefers one that stays among equals', () => {
+  it('prefers a replica that is not draining among equally advanced ones', () => {
     expect(pickCandidate({ ...allFenced, fenced: [createFenced('a', 9, { isDraining: true }), createFenced('b', 9)] })?.endpoint).to.equal('b')
   })
 
-  it('takes none while a replica is missing that may hold more', () => {
+  it('picks none while an unfenced replica may hold more acknowledged writes', () => {
     const fenced = [createFenced('a', 9)]
     expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: false })).to.equal(undefined)
     expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(10), isEveryVmHeard: true })).to.equal(undefined)
     expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: true })?.endpoint).to.equal('a')
   })
 
-  it('does not rely on a replica that has just started, empty', () => {
+  it('does not rely on a replica that has just started with an empty log', () => {
     const fenced = [createFenced('a', 4), createFenced('b', 0, { ageMs: 500 })]
     expect(pickCandidate({ ...allFenced, fenced, acknowledged: at(9) })).to.equal(undefined)
     expect(pickCandidate({ ...allFenced, fenced, acknowledged: at(4) })?.endpoint).to.equal('a')
   })
 
-  it('takes the old primary\'s log for complete once it has stepped down', () => {
+  it('relies on the log of the old primary once that has stepped down', () => {
     const fenced = [createFenced('old', 9, { isOldPrimary: true, isDraining: true }), createFenced('a', 9)]
     expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: null, isEveryVmHeard: false })?.endpoint).to.equal('a')
   })
 
-  /** Commits are acknowledged once one of the replicas has received them; some replicas are lost or restarted, and some VMs do not tell. */
-  it('never loses an acknowledged commit, in 2,000 seeded histories', () => {
+  /** A commit is acknowledged once one of the replicas has received it. Some replicas are lost or restarted, and some VMs do not respond. */
+  it('picks no replica that lacks an acknowledged commit, in 2,000 seeded histories', () => {
     const random = createSeededRandom(11)
     for (let run = 0; run < 2_000; run++) {
       const received = [0, 0]
--- a/packages/gateway/src/failover/decide-promotion.ts
+++ b/packages/gateway/src/failover/decide-promotion.ts
@@ -1,51 +1,53 @@
 import { comparePositions, type LogPosition } from '@camphorpitch/wire'
 import { SILENT_AFTER_MS } from '../pool/endpoint-health.ts'
 
-/** Refused connections count as the loss of an endpoint after this long, in milliseconds. */
+/** An endpoint that has refused connections for this long counts as lost. */
 const REFUSED_TIMEOUT_MS = 200
-/** Writes without any answer, while the primary answers reads, mean that its replicas do not hear it; in milliseconds. */
+/** If the primary responds to reads but to no write for this long, its replicas do not receive its log. */
 const STALLED_WRITES_TIMEOUT_MS = 1_300
-/** Time without any known primary before one is chosen, in milliseconds. */
+/** A primary is chosen if none has been known for this long. */
 const NO_PRIMARY_TIMEOUT_MS = 2_500
-/** A draining primary is replaced once it has been known to drain for this long, in milliseconds. */
+/** A draining primary is replaced this long after it was first seen to drain. */
 const DRAINING_DELAY_MS = 100
-/** The next VM in rank acts this much later, in milliseconds. */
+/** Each VM acts this much later than the VM before it in rank, so that usually one VM attempts the promotion. */
 const RANK_DELAY_MS = 150
-/** VMs after this rank act together, so that a few VMs that cannot act do not hold up the rest. */
+/** VMs from this rank on act at the same time, so that a few VMs that cannot act delay the others only for a limited time. */
 const MAX_DELAYED_RANK = 6
-/** An endpoint started less than this ago may not have caught up, in milliseconds. */
+/** A replica that started less than this ago may not have caught up with the log. */
 const RECENT_START_MS = 10_000
 
-/** What a VM knows about the need to replace a primary. Times are how long something has lasted, in milliseconds. */
+/** What a VM knows about the need to replace a primary. Each time tells how long a condition has lasted, in milliseconds. */
 export interface PromotionEvidence {
   hasPrimary: boolean
   /** Whether the primary is still registered. */
   isRegistered: boolean
   drainingMs: number
-  /** For how long the primary has left this VM without an answer. */
+  /** For how long the primary has not responded to this VM; 0 if it has. */
   unresponsiveMs: number
+  /** For how long the primary has refused this VM's connections; 0 if it does not. */
   connectionRefusedMs: number
-  /** Since any VM last heard the primary. */
+  /** Time since the primary last responded to any VM. */
   sinceLastResponseMs: number
-  /** For how long the oldest write of any VM has waited for its answer. */
+  /** For how long writes have been pending without a response at the VM where this has lasted longest. */
   pendingWriteMs: number
-  /** Since any VM last had a write acknowledged. */
+  /** Time since the primary last acknowledged a write of any VM. */
   sinceAcknowledgedMs: number
   withoutPrimaryMs: number
-  /** Whether other VMs are known but none of them answers. */
+  /** Whether other VMs are known but none of them responds. */
   isIsolated: boolean
+  /** Rank of this VM for the service: VMs with a lower rank act first. */
   rank: number
-  /** Whether another endpoint could lead. */
+  /** Whether there is another endpoint that could become primary. */
   hasCandidate: boolean
 }
 
 export type PromotionReason = 'primary lost' | 'primary cut off from its replicas' | 'primary draining' | 'no primary'
 
 /**
- * Why the primary should be replaced now by this VM; `null` when it should not.
+ * Finds the reason for which this VM should replace the primary now; `null` if it should not.
  *
- * The load pattern: requests keep coming to a primary that some VMs do not reach. As long as any VM
- * hears it, it stays; VMs that do not reach it refuse writes at once.
+ * A primary that some VMs do not reach may still serve requests of other VMs. It stays as long as it responds to any VM;
+ * the VMs that do not reach it refuse writes at once.
  */
 export function findPromotionReason (evidence: PromotionEvidence): PromotionReason | null {
   if (!evidence.hasCandidate || evidence.isIsolated) return null
@@ -62,35 +64,35 @@
   return isUnavailable && sinceLastResponseMs >= SILENT_AFTER_MS + delayMs
 }
 
-/** A replica that no longer takes anything from the old primary. */
+/** An endpoint that no longer receives log entries from the old primary, or the old primary itself after it stepped down. */
 export interface FencedEndpoint {
   endpoint: string
   received: LogPosition
   isDraining: boolean
   /** Milliseconds since its start. */
   ageMs: number
-  /** Whether it has stepped down instead of being paused. */
+  /** Whether this is the old primary, which has stepped down instead of being paused. */
   isOldPrimary: boolean
 }
 
 export interface CandidateOptions {
   fenced: readonly FencedEndpoint[]
-  /** Replicas of the group that could not be fenced. */
+  /** Number of the group's replicas that could not be fenced. */
   unfencedReplicas: number
   /** Latest position that any VM knows to be acknowledged. */
   acknowledged: LogPosition | null
-  /** Whether every VM that may be running has told what it knows. */
+  /** Whether every VM that may be running has reported the latest acknowledged position it knows. */
   isEveryVmHeard: boolean
 }
 
 /**
- * Picks the endpoint to promote: the most advanced of the fenced ones.
+ * Picks the endpoint to promote: one of the most advanced fenced endpoints, if possible not a draining one.
  *
- * An acknowledged write is on the old primary and at least one replica, so with every replica fenced the
- * most advanced holds all of them, unless one of them has lost its log by starting again. Where one is missing or
- * young, the pick must hold all that the VMs know to be acknowledged.
+ * Each acknowledged write is on the old primary and on at least one replica. So if every replica is fenced, the most advanced
+ * one holds all acknowledged writes, unless a replica has lost its log in a restart. If a replica could not be fenced or has
+ * started recently, the candidate must hold every position that the VMs know to be acknowledged.
  *
- * @returns `undefined` when no choice is safe
+ * @returns `undefined` if no choice is safe
  */
 export function pickCandidate ({ fenced, unfencedReplicas, acknowledged, isEveryVmHeard }: CandidateOptions): FencedEndpoint | undefined {
   const hasOldPrimary = fenced.some(f => f.isOldPrimary)
--- a/packages/gateway/src/failover/duty-claim.test.ts
+++ b/packages/gateway/src/failover/duty-claim.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('claims on the failover duty', () => {
-  it('go to one VM at a time, with growing tokens', async () => {
+  it('are granted to one VM at a time, with growing tokens', async () => {
     const store = new MemoryStore()
     const clock = new VirtualClock()
     const [a, b] = [createClaims(store, clock, 'a'), createClaims(store, clock, 'b')]
@@ -23,7 +23,7 @@
     expect(second!.fencingToken).to.be.greaterThan(first!.fencingToken)
   })
 
-  it('are taken over from a VM that is gone, long after it may still use them', async () => {
+  it('are taken over from a lost VM only after that VM may no longer use them', async () => {
     const store = new MemoryStore()
     const clock = new VirtualClock()
     const [a, b] = [createClaims(store, clock, 'a'), createClaims(store, clock, 'b')]
@@ -36,7 +36,7 @@
     expect(await b.claim('orders')).to.not.equal(null)
   })
 
-  it('are not had while the store is down, and a claim whose answer was lost is not held', async () => {
+  it('are not granted while the store is down or if its response is lost', async () => {
     const store = new MemoryStore()
     const a = createClaims(store, new VirtualClock(), 'a')
     store.isDown = true
@@ -48,7 +48,7 @@
     expect((await a.claim('orders'))!.fencingToken).to.equal(store.revision)
   })
 
-  it('never let a lower token be used after a higher one, in 300 seeded races', async () => {
+  it('never allow the use of a lower token after a higher one, in 300 seeded races', async () => {
     for (let seed = 1; seed <= 300; seed++) {
       const random = createSeededRandom(seed)
       const store = new MemoryStore()
--- a/packages/gateway/src/failover/duty-claim.ts
+++ b/packages/gateway/src/failover/duty-claim.ts
@@ -2,19 +2,19 @@
 import { z } from 'zod'
 import { RevisionConflictError, type MetadataStore, type StoredObject } from '../metadata/metadata-store.ts'
 
-/** A claim may be taken over once it has been seen unchanged for this long, in milliseconds. */
+/** Another VM may take over a claim that it has seen unchanged for this long. */
 export const CLAIM_TAKEOVER_MS = 4_000
-/** Its holder acts on it for this long at most, in milliseconds: well before it may be taken over. */
+/** The holder of a claim acts on it for at most this long, so that it stops well before another VM may take the claim over. */
 export const CLAIM_VALID_MS = 2_800
 
 const claimSchema = z.object({ holder: z.string().nullable(), incarnation: z.number() })
 
-/** The right of one VM to change the primary of a service. */
+/** The right of one VM to change the primary of a service. Lapses after `CLAIM_VALID_MS`. */
 export interface Claim {
   service: string
   /** Grows with each claim of the service. */
   fencingToken: number
-  /** When the claim was sent to the store. */
+  /** Time at which the claim was sent to the store, on this VM's clock. */
   claimedAtMs: number
 }
 
@@ -26,12 +26,13 @@
   incarnation: number
 }
 
+/** Another VM's claim, with the time since when this VM has seen it unchanged. */
 interface ObservedClaim { revision: number, sinceMs: number }
 
 /**
- * Claims on the failover duty, one object of the store for each service, changed by conditional updates only.
+ * Claims on the failover duty. Each service has one object in the store, which is changed by conditional updates only.
  *
- * The fencing token is the object's revision, so it grows with each claim, whoever makes it.
+ * The fencing token is the object's revision, so it grows with each claim of any VM.
  */
 export class DutyClaims {
   readonly #options: DutyClaimsOptions
@@ -41,7 +42,12 @@
     this.#options = options
   }
 
-  /** @returns `null` when another VM holds the claim; rejects when the store does not answer */
+  /**
+   * Claims the failover duty for a service.
+   *
+   * @returns `null` if another VM holds the claim
+   * @throws MetadataError if the store did not respond
+   */
   async claim (service: string): Promise<Claim | null> {
     const { store, clock, vm, incarnation } = this.#options
     const name = formatObjectName(service)
@@ -58,17 +64,18 @@
     }
   }
 
+  /** Whether this VM may still act on the claim. */
   isUsable (claim: Claim): boolean {
     return this.#options.clock.readNow() - claim.claimedAtMs < CLAIM_VALID_MS
   }
 
-  /** Lets others claim at once. */
+  /** Releases the claim, so that other VMs need not wait until they may take it over. Failures are only logged. */
   async release (claim: Claim): Promise<void> {
     const { store, logger, incarnation } = this.#options
     try {
       await store.write('duties', formatObjectName(claim.service), { holder: null, incarnation }, claim.fencingToken)
     } catch (error) {
-      logger.info('claim not released', { service: claim.service, reason: String(error) })
+      logger.info('releasing the failover claim failed', { service: claim.service, reason: String(error) })
     }
   }
 
--- a/packages/gateway/src/failover/failover-watch.ts
+++ b/packages/gateway/src/failover/failover-watch.ts
@@ -7,14 +7,15 @@
 import { runPromotion, type PromotionHost } from './run-promotion.ts'
 
 const CHECK_INTERVAL_MS = 100
-/** Silence of a primary after which fresh reports of other VMs are asked for, in milliseconds. */
+/** Fresh reports are requested from the other VMs if the primary has been unresponsive for this long. */
 const REPORT_POLL_AFTER_MS = 350
-/** After an attempt the next one of this VM begins no sooner, in milliseconds. */
+/** Shortest time between the starts of two attempts of this VM for a service. */
 const ATTEMPT_INTERVAL_MS = 1_500
-/** Shortest time between two promotions of a service, in milliseconds; a new primary needs it to show itself. */
+/** Shortest time from a change of a service's primary to the next attempt; the new primary needs this time until the VMs have seen it lead. */
 const MIN_PROMOTION_INTERVAL_MS = 3_000
-/** Expected time from now to a new primary, in milliseconds, by how far a change is. */
+/** Expected time until the service has a new primary, if a promotion is running on this VM. */
 const RECOVERY_IN_ATTEMPT_MS = 1_200
+/** The same estimate if no promotion is running on this VM. */
 const RECOVERY_BEFORE_ATTEMPT_MS = 2_000
 
 export interface FailoverWatchOptions {
@@ -23,12 +24,13 @@
   members: MemberState
   host: PromotionHost
   listGroups: () => ServiceGroup[]
-  /** Asks other VMs for fresh reports. */
+  /** Requests fresh reports from the other VMs. */
   poll: () => void
+  /** Called after each attempt: `none` if it promoted no endpoint. */
   recordResult: (service: string, result: 'promoted' | 'none') => void
 }
 
-/** Watches every group's primary and replaces it when need be. */
+/** Checks every group's primary periodically and replaces it if there is a reason to. */
 export class FailoverWatch {
   readonly #options: FailoverWatchOptions
   readonly #runningServices = new Set<string>()
@@ -49,12 +51,12 @@
     clearInterval(this.#timer)
   }
 
-  /** Takes in that a primary was found or promoted: no other change is due for a while. */
+  /** Records that a primary was found or promoted, which delays the next attempt for the service. */
   recordChange (service: string): void {
     this.#nextAttemptMs.set(service, this.#options.clock.readNow() + MIN_PROMOTION_INTERVAL_MS)
   }
 
-  /** Milliseconds until the group is likely to take writes; 0 while it does. */
+  /** Estimates the time in milliseconds until the group accepts writes again; 0 while it does. */
   estimateRecoveryMs (group: ServiceGroup): number {
     if (this.#runningServices.has(group.service)) return RECOVERY_IN_ATTEMPT_MS
     return group.isWritable ? 0 : RECOVERY_BEFORE_ATTEMPT_MS
@@ -63,21 +65,21 @@
   #checkGroup (group: ServiceGroup): void {
     const { service } = group
     const nowMs = this.#options.clock.readNow()
-    // A VM that has been asked to revoke its trust leaves the change to the one that asked.
+    // Another VM that had this VM revoke the primary's leadership is already replacing the primary.
     if (this.#runningServices.has(service) || isRevoked(group.state, nowMs)) return
     const evidence = this.#collectEvidence(group, nowMs)
     if (evidence.unresponsiveMs >= REPORT_POLL_AFTER_MS || evidence.connectionRefusedMs > 0) this.#options.poll()
     if (nowMs < (this.#nextAttemptMs.get(service) ?? -Infinity)) return
     const reason = findPromotionReason(evidence)
     if (reason === null) return
-    this.#options.logger.warn('primary to be replaced', { service, reason, primary: group.state.primary, ...evidence })
+    this.#options.logger.warn('primary replacement required', { service, reason, primary: group.state.primary, ...evidence })
     this.#runningServices.add(service)
     this.#nextAttemptMs.set(service, nowMs + ATTEMPT_INTERVAL_MS)
     runPromotion(this.#options.host, group, reason).then(promoted => {
       this.#options.recordResult(service, promoted === null ? 'none' : 'promoted')
       if (promoted !== null) this.recordChange(service)
     }, (error: unknown) => {
-      this.#options.logger.info('promotion not begun', { service, reason: describeError(error) })
+      this.#options.logger.info('promotion attempt aborted', { service, reason: describeError(error) })
     }).finally(() => {
       this.#runningServices.delete(service)
       this.#nextAttemptMs.set(service, Math.max(this.#nextAttemptMs.get(service) ?? 0, this.#options.clock.readNow() + ATTEMPT_INTERVAL_MS / 3))
--- a/packages/gateway/src/failover/run-promotion.ts
+++ b/packages/gateway/src/failover/run-promotion.ts
@@ -9,26 +9,28 @@
 import { pickCandidate, type FencedEndpoint, type PromotionReason } from './decide-promotion.ts'
 import type { Claim, DutyClaims } from './duty-claim.ts'
 
-/** Time for other VMs to confirm that they no longer trust the primary, in milliseconds. */
+/** Limit for all VMs to confirm that they have revoked the primary's leadership. */
 const REVOKE_TIMEOUT_MS = 250
-/** The same where statements that run at the primary may end first. */
+/** The same limit in a planned change, in which VMs let statements in flight at the primary finish before they confirm. */
 const PLANNED_REVOKE_TIMEOUT_MS = 700
-/** Time for replicas to receive all of a primary that has stepped down, in milliseconds. */
+/** Limit for a replica to receive the complete log of a primary that has stepped down. */
 const CATCH_UP_TIMEOUT_MS = 600
 const STATUS_INTERVAL_MS = 100
 const PROMOTE_TIMEOUT_MS = 700
-/** Time for a promotion to take effect, in milliseconds. */
+/** Limit for the promoted endpoint to report that it is primary. */
 const PROMOTION_EFFECT_TIMEOUT_MS = 3_500
 const MAX_BUSY_ATTEMPTS = 4
 const RETRY_DELAY_MS = 25
 
+/** Result of the request to all VMs to revoke the leadership of a primary. */
 export interface Revocation {
   /** Whether every VM that may be running has confirmed. */
   isEveryVmHeard: boolean
-  /** Latest position that any of them knows to be acknowledged. */
+  /** Latest position that any of the VMs that confirmed knows to be acknowledged; `null` if none knows one. */
   acknowledged: LogPosition | null
 }
 
+/** What a promotion needs from the VM that runs it. */
 export interface PromotionHost {
   clock: Clock
   logger: Logger
@@ -36,9 +38,12 @@
   control: ControlConnections
   claims: DutyClaims
   promoter: Promoter
-  /** Asks all VMs not to trust the primary, this one included. */
+  /** Has all VMs, this one included, revoke the primary's leadership: they no longer send it reads on the strength of its lease. Waits for `waitMs` at most. */
   revoke: (group: ServiceGroup, term: number, isPlanned: boolean, waitMs: number) => Promise<Revocation>
-  /** Tells all VMs who leads, as it did at `ledAtMs`; `null` when the attempt came to nothing. */
+  /**
+   * Tells all VMs the outcome of the attempt: the endpoint that was primary at `ledAtMs`, or `null` if
+   * no endpoint was promoted.
+   */
   publishOutcome: (group: ServiceGroup, endpoint: string | null, term: number, ledAtMs: number) => void
 }
 
@@ -47,39 +52,40 @@
   group: ServiceGroup
   reason: PromotionReason
   claim: Claim
-  /** Term that the fenced endpoints were told. */
+  /** Term at which the endpoints are fenced; once the new primary is known, its term. */
   term: number
   oldPrimary: EndpointEntry | undefined
   replicas: EndpointEntry[]
-  /** When the new primary was last seen to lead. */
+  /** Time at which the status request was sent to which the new primary responded that it leads. */
   leadershipSeenAtMs: number
 }
 
 /**
  * Replaces a service's primary.
  *
- * 1. Claims the duty at the store, which gives a fencing token.
- * 2. Fences: every replica is paused at a new term, or, in a planned change, the old primary steps down first.
- * 3. Has all VMs revoke their trust in the old primary; where one does not confirm, waits until its lease has surely ended.
- * 4. Promotes the most advanced replica, waits until it leads, then lets the others receive again.
+ * 1. Claims the failover duty in the store, which yields a fencing token.
+ * 2. Fences the group: pauses every replica at a new term or, in a planned change, has the old primary step down first.
+ * 3. Has all VMs revoke the leadership of the old primary. If a VM does not confirm, waits until its lease must have expired.
+ * 4. Promotes the most advanced replica, waits until it leads, then resumes the other replicas.
  *
- * @returns the new primary, or `null`
+ * @returns the name of the new primary, or `null` if none was promoted
+ * @throws MetadataError if the store did not respond to the claim
  */
 export async function runPromotion (host: PromotionHost, group: ServiceGroup, reason: PromotionReason): Promise<string | null> {
   const claim = await host.claims.claim(group.service)
   if (claim === null) {
-    host.logger.info('promotion left to another VM', { service: group.service, reason })
+    host.logger.info('promotion skipped, another VM holds the failover claim', { service: group.service, reason })
     return null
   }
   const entries = [...group.pools.values()].map(p => p.entry)
   const oldPrimary = entries.find(e => e.endpoint === group.state.primary?.endpoint)
   const attempt: Attempt = { host, group, reason, claim, oldPrimary, replicas: entries.filter(e => e !== oldPrimary), leadershipSeenAtMs: -Infinity, term: (group.state.primary?.term ?? 0) + 1 }
-  host.logger.warn('promotion begins', { service: group.service, reason, oldPrimary: oldPrimary?.endpoint, term: attempt.term, fencingToken: claim.fencingToken })
+  host.logger.warn('promotion started', { service: group.service, reason, oldPrimary: oldPrimary?.endpoint, term: attempt.term, fencingToken: claim.fencingToken })
   let promoted: string | null = null
   try {
     promoted = await promoteCandidate(attempt)
   } catch (error) {
-    host.logger.error('promotion failed', { service: group.service, error: describeError(error) })
+    host.logger.error('promotion attempt failed', { service: group.service, error: describeError(error) })
   }
   await finishAttempt(attempt, promoted)
   return promoted
@@ -97,18 +103,22 @@
   if (!revocation.isEveryVmHeard) await waitForLeases(attempt, fencedAtMs)
   const unfencedReplicas = isPlanned ? 0 : attempt.replicas.length - fenced.filter(f => !f.isOldPrimary).length
   const candidate = pickCandidate({ fenced, unfencedReplicas, ...revocation })
-  host.logger.info('promotion candidate', { service: group.service, candidate: candidate?.endpoint, fenced, unfencedReplicas, ...revocation })
+  host.logger.info('promotion candidates compared', { service: group.service, candidate: candidate?.endpoint, fenced, unfencedReplicas, ...revocation })
   if (candidate === undefined) return null
   return await requestPromotion(attempt, candidate.endpoint)
 }
 
-/** A term that none of the group has seen; the primary's is not known before it has been asked. */
+/** Sets a term that no replica has seen yet, in case the primary's term is unknown because the primary has not responded so far. */
 async function updateTerm (attempt: Attempt): Promise<void> {
   if (attempt.term > 1) return
   const statuses = await runOnAll(attempt, attempt.replicas, async c => await c.readStatus())
   attempt.term = Math.max(1, ...statuses.map(({ status }) => Math.max(status.term, status.pausedForTerm) + 1))
 }
 
+/**
+ * Pauses the replicas, so that they receive nothing more from the old primary. If some can't be paused, the old primary counts
+ * as well, if it has stepped down on request.
+ */
 async function fenceReplicas (attempt: Attempt): Promise<FencedEndpoint[]> {
   const { host, oldPrimary, replicas, term } = attempt
   const steppingDown = oldPrimary === undefined ? Promise.resolve([]) : runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
@@ -116,12 +126,16 @@
   const isPaused = (s: EndpointStatus): boolean => s.role === 'replica' && s.pausedForTerm >= term
   const fenced = paused.filter(({ status }) => isPaused(status)).map(({ entry, status }) => describeFenced(entry, status, false))
   if (fenced.length === replicas.length) return fenced
-  host.logger.info('replica not fenced', { service: attempt.group.service, term, paused: paused.map(p => ({ endpoint: p.entry.endpoint, ...p.status })) })
+  host.logger.info('not all replicas fenced', { service: attempt.group.service, term, responses: paused.map(p => ({ endpoint: p.entry.endpoint, ...p.status })) })
   const steppedDown = await steppingDown
   return [...fenced, ...steppedDown.filter(({ status }) => status.role === 'replica').map(({ entry, status }) => describeFenced(entry, status, true))]
 }
 
-/** The old primary still works: it steps down, then its replicas receive all that it has. */
+/**
+ * Fences the group while the old primary still works: the primary steps down, then its replicas receive the rest of its log.
+ *
+ * @returns the replicas that hold the whole log, and the old primary; empty if it did not step down
+ */
 async function fencePlannedChange (attempt: Attempt): Promise<FencedEndpoint[]> {
   const { host, oldPrimary, replicas, term } = attempt
   if (oldPrimary === undefined) return []
@@ -142,30 +156,32 @@
   return { endpoint: entry.endpoint, received: status.received, isDraining: entry.isDraining, ageMs: Date.now() - entry.startedAtMs, isOldPrimary }
 }
 
-/** A VM that has not confirmed may trust the old primary until its lease has run out. */
+/** Waits until the lease of the old primary has expired on VMs that did not confirm the revocation and may still send it reads. */
 async function waitForLeases (attempt: Attempt, fencedAtMs: number): Promise<void> {
   const { host, group, term } = attempt
   const waitMs = fencedAtMs + LEADER_LEASE_MS - host.clock.readNow()
-  host.logger.info('waiting for leases to end', { service: group.service, waitMs: Math.round(waitMs) })
+  host.logger.info('waiting for leadership leases to expire', { service: group.service, waitMs: Math.round(waitMs) })
   if (waitMs > 0) await waitFor(waitMs)
   if (attempt.reason === 'primary draining') return
   const paused = await runOnAll(attempt, attempt.replicas, async c => await c.pause(term))
-  if (paused.some(({ status }) => status.role === 'primary')) throw new Error('another endpoint leads already')
+  if (paused.some(({ status }) => status.role === 'primary')) throw new Error('another replica became primary while waiting for leadership leases to expire')
 }
 
+/** Requests the promotion and waits until it takes effect. @returns the endpoint, or `null` if it did not become primary */
 async function requestPromotion (attempt: Attempt, endpoint: string): Promise<string | null> {
   const { host, group, claim } = attempt
   if (!host.claims.isUsable(claim)) {
-    host.logger.warn('claim ran out before the promotion', { service: group.service })
+    host.logger.warn('promotion cancelled, the failover claim has expired', { service: group.service })
     return null
   }
   const order = { service: group.service, endpoint, holder: host.vm, fencingToken: claim.fencingToken }
   const result = await host.promoter.promote(order, PROMOTE_TIMEOUT_MS)
-  host.logger.warn('promotion ordered', { ...order, result })
+  host.logger.warn('promotion requested', { ...order, result })
   if (result === 'refused' || result === 'busy') return null
   return await waitForEffect(attempt, endpoint)
 }
 
+/** Polls the endpoint until it reports that it is primary. @returns `null` if it did not in time */
 async function waitForEffect (attempt: Attempt, endpoint: string): Promise<string | null> {
   const { host, group, replicas, oldPrimary } = attempt
   const entry = [...replicas, ...oldPrimary === undefined ? [] : [oldPrimary]].find(e => e.endpoint === endpoint)
@@ -184,6 +200,7 @@
   return null
 }
 
+/** Publishes the outcome, resumes the replicas, demotes the replaced primary and releases the claim. */
 async function finishAttempt (attempt: Attempt, promoted: string | null): Promise<void> {
   const { host, group, claim, replicas, oldPrimary, term } = attempt
   host.publishOutcome(group, promoted, term, attempt.leadershipSeenAtMs)
@@ -193,19 +210,20 @@
   await host.claims.release(claim)
 }
 
-/** Runs a command on several endpoints at once. @returns the answers of those that gave one */
+/** Runs a command on several endpoints at once. @returns the statuses of those that responded */
 async function runOnAll (attempt: Attempt, entries: readonly EndpointEntry[], command: ControlCommand): Promise<Array<{ entry: EndpointEntry, status: EndpointStatus }>> {
   const results = await Promise.all(entries.map(async entry => ({ entry, status: await runWithRetries(attempt, entry, command) })))
   return results.flatMap(({ entry, status }) => status === null ? [] : [{ entry, status }])
 }
 
+/** Runs a command, with retries while the endpoint is busy. @returns `null` if it stayed busy or did not respond */
 async function runWithRetries ({ host }: Attempt, entry: EndpointEntry, command: ControlCommand): Promise<EndpointStatus | null> {
   for (let attempts = 1; attempts <= MAX_BUSY_ATTEMPTS; attempts++) {
     try {
       const status = await host.control.run(entry, command)
       if (status !== null) return status
     } catch (error) {
-      host.logger.info('control command not answered', { endpoint: entry.endpoint, reason: describeError(error) })
+      host.logger.info('control command failed', { endpoint: entry.endpoint, reason: describeError(error) })
       return null
     }
     await waitFor(RETRY_DELAY_MS)
--- a/packages/gateway/src/failover/verify-leadership.test.ts
+++ b/packages/gateway/src/failover/verify-leadership.test.ts
@@ -10,7 +10,7 @@
 
 const logger = createLogger({ process: 'test', level: 'silent' })
 
-/** Endpoints that answer what a test says. */
+/** Connects to endpoints that respond with the statuses set by a test. */
 class FakeConnector extends EndpointConnector {
   readonly statuses = new Map<string, Partial<EndpointStatus>>()
 
@@ -33,15 +33,15 @@
   return { connector, clock, group, verifier: new LeadershipQuestions({ clock, logger, control: new ControlConnections(connector) }) }
 }
 
-describe('questions about who leads', () => {
-  it('take a replica that follows and is not paused for proof', async () => {
+describe('verification of leadership', () => {
+  it('accepts a replica that follows the primary and is not paused as proof', async () => {
     const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('a', { pausedForTerm: 2 })
     await verifier.verifyLeadership(group, 1_000)
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(true)
   })
 
-  it('take none that is paused or follows another term', async () => {
+  it('rejects replicas that are paused or follow another term', async () => {
     const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('a', { pausedForTerm: 2 })
     connector.statuses.set('b', { term: 2 })
@@ -49,7 +49,7 @@
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(false)
   })
 
-  it('want all replicas where each has just started, as one may have forgotten its pause', async () => {
+  it('requires all replicas if each has just started, as a restarted replica may have lost its pause', async () => {
     const { group, verifier, clock, connector } = createFixture(Date.now())
     connector.statuses.set('a', { pausedForTerm: 2 })
     await verifier.verifyLeadership(group, 1_000)
@@ -60,7 +60,7 @@
     expect(isPrimaryFresh(group.state, 0, clock.nowMs)).to.equal(true)
   })
 
-  it('find a new primary, and that there is none', async () => {
+  it('finds a new primary, and finds that there is none', async () => {
     const { group, verifier, clock, connector } = createFixture()
     connector.statuses.set('p', { role: 'replica' })
     connector.statuses.set('b', { role: 'primary', term: 2 })
@@ -72,7 +72,7 @@
     expect(group.state.primary).to.equal(null)
   })
 
-  it('do not forget the primary while a change is under way', async () => {
+  it('keeps the known primary while a promotion is in progress', async () => {
     const { group, verifier, clock, connector } = createFixture()
     revokeTrust(group.state, 'p', 2, clock.nowMs)
     connector.statuses.set('p', { role: 'replica' })
--- a/packages/gateway/src/failover/verify-leadership.ts
+++ b/packages/gateway/src/failover/verify-leadership.ts
@@ -5,9 +5,9 @@
 import { waitFor } from '../runtime/wait-at-most.ts'
 import type { ControlConnections } from './control-connections.ts'
 
-/** A replica that started less than this ago may have forgotten that it was paused, in milliseconds. */
+/** A replica that started less than this ago may have lost the information that it was paused. */
 const RECENT_START_MS = 10_000
-/** A group is asked again no sooner than this, in milliseconds. */
+/** Shortest time between two queries of the same kind to a group. */
 const MIN_QUERY_INTERVAL_MS = 200
 
 export interface LeadershipQuestionsOptions {
@@ -17,10 +17,10 @@
 }
 
 /**
- * Asks groups who leads, where ordinary answers do not tell.
+ * Finds and verifies the leader of a group by status requests, for when the responses to statements do not tell it.
  *
- * A replica that is not paused and follows the primary's term proves that no promoter had fenced the group
- * when it was asked, as a promoter pauses every replica first.
+ * A replica that is not paused and follows the primary's term proves that the group was not fenced when the status request
+ * was sent, since a promotion pauses every replica first.
  */
 export class LeadershipQuestions {
   readonly #options: LeadershipQuestionsOptions
@@ -31,27 +31,27 @@
     this.#options = options
   }
 
-  /** Returns once the group has been asked, or after `waitMs`. */
+  /** Verifies that the known primary leads. The result is recorded in the group's state. Resolves when done, or after `waitMs`. */
   async verifyLeadership (group: ServiceGroup, waitMs: number): Promise<void> {
     await Promise.race([this.#runOnce(`prove ${group.service}`, async () => await this.#verifyWithReplicas(group)), waitFor(waitMs)])
   }
 
-  /** Asks all endpoints for their role and takes in who leads. */
+  /** Requests the role of all endpoints and records the primary. Resets the known primary if it is now a replica and no endpoint leads. */
   async findPrimary (group: ServiceGroup): Promise<void> {
     await this.#runOnce(`find ${group.service}`, async () => {
       const roles = await Promise.all([...group.pools.values()].map(async p => await this.checkRole(group, p.entry)))
       const hasLeader = roles.includes('primary')
       const primaryIndex = [...group.pools.keys()].indexOf(group.state.primary?.endpoint ?? '')
-      // While a promoter is at work nobody leads for a moment, and its outcome will tell who does.
+      // During a promotion no endpoint leads for a moment; its outcome will tell the new primary.
       const isBeingReplaced = isRevoked(group.state, this.#options.clock.readNow())
       if (!hasLeader && !isBeingReplaced && roles[primaryIndex] === 'replica') group.resetPrimary()
     })
   }
 
-  /** Asks one endpoint for its role. */
+  /** Requests the role of one endpoint and records it if it is primary. @returns `null` if it did not respond */
   async checkRole (group: ServiceGroup, entry: EndpointEntry): Promise<'primary' | 'replica' | null> {
     const status = await this.#findStatus(entry)
-    if (status?.role === 'primary') group.adoptPrimary(entry.endpoint, status.term, 'asked')
+    if (status?.role === 'primary') group.adoptPrimary(entry.endpoint, status.term, 'role check')
     return status?.role ?? null
   }
 
@@ -67,18 +67,18 @@
       const status = await this.#findStatus(entry)
       const { primary: current } = group.state
       const isFollowing = status?.role === 'replica' && status.pausedForTerm === 0 && status.term === current?.term
-      if (current === null || !isFollowing) throw new Error(`${entry.endpoint} does not prove it`)
+      if (current === null || !isFollowing) throw new Error(`${entry.endpoint}: expected a replica that is not paused and follows the primary's term`)
       return entry
     }
     const proofs = replicas.map(p => ({ entry: p.entry, proof: verify(p.entry) }))
     const provenByOne = proofs.filter(v => Date.now() - v.entry.startedAtMs >= RECENT_START_MS).map(v => v.proof)
     try {
-      // All replicas together prove it also where each has started lately: they did not all forget a pause.
+      // All replicas together are a proof even if each has started recently: they did not all lose the information about a pause.
       await Promise.any([...provenByOne, ...proofs.length > 1 ? [Promise.all(proofs.map(v => v.proof))] : []])
       recordLeadership(group.state, primary.endpoint, sentAtMs)
-      this.#options.logger.info('leadership proven', { service: group.service, primary: primary.endpoint, term: group.state.primary?.term, asked: replicas.length })
+      this.#options.logger.info('leadership verified', { service: group.service, primary: primary.endpoint, term: group.state.primary?.term, replicaCount: replicas.length })
     } catch {
-      this.#options.logger.info('leadership not proven', { service: group.service, primary: primary.endpoint, term: primary.term, asked: replicas.length })
+      this.#options.logger.info('leadership not verified', { service: group.service, primary: primary.endpoint, term: primary.term, replicaCount: replicas.length })
     }
   }
 
@@ -86,11 +86,12 @@
     try {
       return await this.#options.control.run(entry, async c => await c.readStatus())
     } catch (error) {
-      this.#options.logger.info('status not answered', { endpoint: entry.endpoint, reason: describeError(error) })
+      this.#options.logger.info('endpoint status request failed', { endpoint: entry.endpoint, reason: describeError(error) })
       return null
     }
   }
 
+  /** Runs a query unless one of the same name is running, in which case it waits for that, or has started too recently. */
   async #runOnce (name: string, query: () => Promise<void>): Promise<void> {
     const running = this.#running.get(name)
     if (running !== undefined) return await running
