--- a/packages/gateway/src/freshness/group-state.test.ts
+++ b/packages/gateway/src/freshness/group-state.test.ts
@@ -1,10 +1,10 @@
 import { createSeededRandom, type LogPosition } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { addSample, createGroupState, findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordAnswer, recordCommit, recordLeadership, restoreTrust, revokeTrust, REVOKED_MS, updatePrimary, type GroupState } from './group-state.ts'
+import { addSample, createGroupState, findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordAnswer, recordCommit, recordLeadership, restoreTrust, revokeTrust, MAX_REVOCATION_MS, updatePrimary, type GroupState } from './group-state.ts'
 
 const at = (index: number, term = 1): LogPosition => ({ term, index })
 
-function createLed (): GroupState {
+function createLedState (): GroupState {
   const state = createGroupState('orders')
   updatePrimary(state, 'a', 1)
   return state
@@ -12,7 +12,7 @@
 
 describe('freshness of a group', () => {
   it('trusts a primary for a lease after it acknowledged a commit, and no longer', () => {
-    const state = createLed()
+    const state = createLedState()
     expect(isPrimaryFresh(state, 0, 1_000)).to.equal(false)
     recordCommit(state, 'a', 1_000, at(5), 1_020)
     expect(isPrimaryFresh(state, 0, 1_000 + LEADER_LEASE_MS)).to.equal(true)
@@ -20,21 +20,21 @@
   })
 
   it('lets bounded reads go on for as long as they may be stale', () => {
-    const state = createLed()
+    const state = createLedState()
     recordCommit(state, 'a', 1_000, at(5), 1_020)
     expect(isPrimaryFresh(state, 1_500, 1_000 + LEADER_LEASE_MS + 1_500)).to.equal(true)
     expect(isPrimaryFresh(state, 1_500, 1_001 + LEADER_LEASE_MS + 1_500)).to.equal(false)
   })
 
   it('does not take answers to reads for proof that the primary leads', () => {
-    const state = createLed()
+    const state = createLedState()
     for (let nowMs = 0; nowMs < 10_000; nowMs += 10) recordAnswer(state, 'a', nowMs, at(5), nowMs + 5)
     expect(isPrimaryFresh(state, 0, 5_000)).to.equal(false)
     expect(findRequiredPosition(state, 1_500, 5_000)).to.equal(undefined)
   })
 
   it('asks for the oldest position that covers the allowed age', () => {
-    const state = createLed()
+    const state = createLedState()
     recordLeadership(state, 'a', 10_000)
     for (let i = 0; i < 10; i++) recordAnswer(state, 'a', 10_000 + i * 100, at(i), 10_010 + i * 100)
     expect(findRequiredPosition(state, 500, 11_000)).to.deep.equal(at(5))
@@ -42,7 +42,7 @@
   })
 
   it('trusts nothing once trust is revoked, until a new primary is known or the attempt is over', () => {
-    const state = createLed()
+    const state = createLedState()
     recordCommit(state, 'a', 1_000, at(5), 1_010)
     revokeTrust(state, 'a', 2, 1_100)
     expect(isPrimaryFresh(state, 0, 1_101)).to.equal(false)
@@ -52,12 +52,12 @@
     recordCommit(state, 'a', 1_300, at(7), 1_310)
     expect(isPrimaryFresh(state, 0, 1_400)).to.equal(true)
     revokeTrust(state, 'a', 2, 2_000)
-    recordLeadership(state, 'a', 2_000 + REVOKED_MS)
-    expect(isPrimaryFresh(state, 0, 2_000 + REVOKED_MS + 1)).to.equal(true)
+    recordLeadership(state, 'a', 2_000 + MAX_REVOCATION_MS)
+    expect(isPrimaryFresh(state, 0, 2_000 + MAX_REVOCATION_MS + 1)).to.equal(true)
   })
 
   it('drops positions of the old primary when a newer one leads, and ignores older beliefs', () => {
-    const state = createLed()
+    const state = createLedState()
     recordLeadership(state, 'a', 1_000)
     addSample(state, { atMs: 1_000, position: at(9) })
     expect(updatePrimary(state, 'b', 2)).to.equal(true)
@@ -68,7 +68,7 @@
 
   it('keeps samples in order, whatever order reports come in', () => {
     const random = createSeededRandom(7)
-    const state = createLed()
+    const state = createLedState()
     for (let i = 0; i < 500; i++) addSample(state, { atMs: Math.floor(random() * 8_000), position: at(i) })
     const times = state.samples.map(s => s.atMs)
     expect(times).to.deep.equal([...times].sort((a, b) => b - a))
@@ -83,16 +83,16 @@
   for (let seed = 1; seed <= 200; seed++) {
     it(`shows no read that misses a new commit, seed ${seed}`, () => {
       const random = createSeededRandom(seed)
-      const state = createLed()
+      const state = createLedState()
       const cutAtMs = 2_000 + random() * 1_000
       const fencedAtMs = cutAtMs + 300 + random() * 700
-      const firstNewCommitMs = fencedAtMs + LEADER_LEASE_MS
+      const firstNewCommitAtMs = fencedAtMs + LEADER_LEASE_MS
       for (let nowMs = 0; nowMs < 8_000; nowMs += 20 + random() * 60) {
         const isAcknowledged = random() < 0.4 && nowMs < fencedAtMs
         if (isAcknowledged) recordCommit(state, 'a', nowMs - 10, at(nowMs), nowMs)
         recordAnswer(state, 'a', nowMs - 5, at(nowMs), nowMs)
         for (const staleMs of [0, 1_500, 2_500]) {
-          const mustHoldNewCommits = nowMs - staleMs > firstNewCommitMs
+          const mustHoldNewCommits = nowMs - staleMs > firstNewCommitAtMs
           if (!mustHoldNewCommits) continue
           expect(isPrimaryFresh(state, staleMs, nowMs), `read at ${nowMs}`).to.equal(false)
           expect(findRequiredPosition(state, staleMs, nowMs), `position at ${nowMs}`).to.equal(undefined)
--- a/packages/gateway/src/freshness/group-state.ts
+++ b/packages/gateway/src/freshness/group-state.ts
@@ -6,14 +6,14 @@
  */
 export const LEADER_LEASE_MS = 1_000
 /** Longest time that a promoter may take after it asked for trust to be revoked, in milliseconds. */
-export const REVOKED_MS = 5_000
+export const MAX_REVOCATION_MS = 5_000
 /** Samples nearer to each other than this are not kept apart, in milliseconds. */
 const SAMPLE_SPACING_MS = 25
 /** Samples kept; with the spacing they reach back further than reads may be stale. */
 const MAX_SAMPLES = 400
 
 /** Which endpoint this VM takes for a service's primary. */
-export interface PrimaryBelief {
+export interface KnownPrimary {
   endpoint: string
   /** 0 while the term is not known. */
   term: number
@@ -25,7 +25,7 @@
 /** What a VM knows of one service's log: the primary, for how long to trust it, and positions. */
 export interface GroupState {
   service: string
-  primary: PrimaryBelief | null
+  primary: KnownPrimary | null
   /** No other primary has acknowledged a write before this time; reads of the primary are fresh until then. */
   trustEndsMs: number
   /** Samples, the newest first. */
@@ -104,12 +104,12 @@
 export function addSample (state: GroupState, sample: Sample): void {
   const { samples } = state
   const index = samples.findIndex(s => s.atMs <= sample.atMs)
-  const place = index < 0 ? samples.length : index
-  const older = samples[place]
-  const newer = samples[place - 1]
+  const insertIndex = index < 0 ? samples.length : index
+  const older = samples[insertIndex]
+  const newer = samples[insertIndex - 1]
   if (older !== undefined && sample.atMs - older.atMs < SAMPLE_SPACING_MS) return
   if (newer !== undefined && newer.atMs - sample.atMs < SAMPLE_SPACING_MS) return
-  samples.splice(place, 0, sample)
+  samples.splice(insertIndex, 0, sample)
   if (samples.length > MAX_SAMPLES) samples.length = MAX_SAMPLES
 }
 
@@ -117,7 +117,7 @@
 export function revokeTrust (state: GroupState, endpoint: string, term: number, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint || state.primary.term > term) return
   state.trustEndsMs = Math.min(state.trustEndsMs, nowMs)
-  state.revokedUntilMs = nowMs + REVOKED_MS
+  state.revokedUntilMs = nowMs + MAX_REVOCATION_MS
 }
 
 /** Lets proofs of leadership count again, after a promotion that did not come about. */
@@ -141,16 +141,16 @@
  * @returns `undefined` when no position is known to
  */
 export function findRequiredPosition (state: GroupState, maxStalenessMs: number, nowMs: number): LogPosition | undefined {
-  const sinceMs = nowMs - maxStalenessMs
+  const notBeforeMs = nowMs - maxStalenessMs
   let found: Sample | undefined
   for (const sample of state.samples) {
-    if (sample.atMs < sinceMs) break
+    if (sample.atMs < notBeforeMs) break
     found = sample
   }
   return found?.position
 }
 
 /** Whether `position` holds all that is known to be acknowledged. */
-export function isComplete (state: GroupState, position: LogPosition): boolean {
+export function hasEveryAcknowledgedWrite (state: GroupState, position: LogPosition): boolean {
   return state.acknowledged === null || comparePositions(position, state.acknowledged) >= 0
 }
