--- a/packages/gateway/src/freshness/group-state.test.ts
+++ b/packages/gateway/src/freshness/group-state.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('freshness of a group', () => {
-  it('trusts a primary for a lease after it acknowledged a commit, and no longer', () => {
+  it('lets the primary serve fresh reads until the lease that a commit began has expired', () => {
     const state = createLedState()
     expect(isPrimaryFresh(state, 0, 1_000)).to.equal(false)
     recordCommit(state, 'a', 1_000, at(5), 1_020)
@@ -19,21 +19,21 @@
     expect(isPrimaryFresh(state, 0, 1_001 + LEADER_LEASE_MS)).to.equal(false)
   })
 
-  it('lets bounded reads go on for as long as they may be stale', () => {
+  it('lets the primary serve bounded reads for their allowed staleness beyond the lease', () => {
     const state = createLedState()
     recordCommit(state, 'a', 1_000, at(5), 1_020)
     expect(isPrimaryFresh(state, 1_500, 1_000 + LEADER_LEASE_MS + 1_500)).to.equal(true)
     expect(isPrimaryFresh(state, 1_500, 1_001 + LEADER_LEASE_MS + 1_500)).to.equal(false)
   })
 
-  it('does not take answers to reads for proof that the primary leads', () => {
+  it('does not accept responses to reads as proof that the primary leads', () => {
     const state = createLedState()
     for (let nowMs = 0; nowMs < 10_000; nowMs += 10) recordAnswer(state, 'a', nowMs, at(5), nowMs + 5)
     expect(isPrimaryFresh(state, 0, 5_000)).to.equal(false)
     expect(findRequiredPosition(state, 1_500, 5_000)).to.equal(undefined)
   })
 
-  it('asks for the oldest position that covers the allowed age', () => {
+  it('requires the oldest position that covers the allowed staleness', () => {
     const state = createLedState()
     recordLeadership(state, 'a', 10_000)
     for (let i = 0; i < 10; i++) recordAnswer(state, 'a', 10_000 + i * 100, at(i), 10_010 + i * 100)
@@ -41,7 +41,7 @@
     expect(findRequiredPosition(state, 50, 11_000)).to.equal(undefined)
   })
 
-  it('trusts nothing once trust is revoked, until a new primary is known or the attempt is over', () => {
+  it('accepts no proof of leadership after a revocation until the attempt fails or the revocation expires', () => {
     const state = createLedState()
     recordCommit(state, 'a', 1_000, at(5), 1_010)
     revokeTrust(state, 'a', 2, 1_100)
@@ -56,7 +56,7 @@
     expect(isPrimaryFresh(state, 0, 2_000 + MAX_REVOCATION_MS + 1)).to.equal(true)
   })
 
-  it('drops positions of the old primary when a newer one leads, and ignores older beliefs', () => {
+  it('drops positions of the old primary when a newer one leads, and ignores an older term', () => {
     const state = createLedState()
     recordLeadership(state, 'a', 1_000)
     addSample(state, { atMs: 1_000, position: at(9) })
@@ -66,7 +66,7 @@
     expect(state.primary).to.deep.equal({ endpoint: 'b', term: 2 })
   })
 
-  it('keeps samples in order, whatever order reports come in', () => {
+  it('keeps samples ordered by time in whatever order they arrive', () => {
     const random = createSeededRandom(7)
     const state = createLedState()
     for (let i = 0; i < 500; i++) addSample(state, { atMs: Math.floor(random() * 8_000), position: at(i) })
@@ -76,12 +76,13 @@
 })
 
 /**
- * A primary, one VM and its clients are cut off together while the rest promotes: whatever the VM's own
- * traffic shows it, none of its reads at the old primary may miss a commit that the new one acknowledged.
+ * Guards against stale reads in a network partition: the old primary, one VM and its clients are cut off while the other VMs
+ * promote a replica. Whatever responses the VM gets, it must not read at the old primary once the read would have to contain
+ * a commit that the new primary acknowledged.
  */
 describe('a VM cut off together with the old primary', () => {
   for (let seed = 1; seed <= 200; seed++) {
-    it(`shows no read that misses a new commit, seed ${seed}`, () => {
+    it(`serves no read that lacks a commit of the new primary, seed ${seed}`, () => {
       const random = createSeededRandom(seed)
       const state = createLedState()
       const cutAtMs = 2_000 + random() * 1_000
--- a/packages/gateway/src/freshness/group-state.ts
+++ b/packages/gateway/src/freshness/group-state.ts
@@ -1,18 +1,18 @@
 import { comparePositions, pickLaterPosition, type LogPosition } from '@camphorpitch/wire'
 
 /**
- * Time for which a proof of leadership lets reads go to the primary, in milliseconds. A promoter waits as
- * long after it has fenced the old primary, unless every VM has confirmed that it no longer trusts it.
+ * Time for which a VM may send reads to the primary after it last verified the primary's leadership. A promotion waits this long
+ * after it has fenced the old primary, unless every VM has confirmed that it revoked the leadership.
  */
 export const LEADER_LEASE_MS = 1_000
-/** Longest time that a promoter may take after it asked for trust to be revoked, in milliseconds. */
+/** Longest time that a promotion may take after it requested the revocation of leadership. */
 export const MAX_REVOCATION_MS = 5_000
-/** Samples nearer to each other than this are not kept apart, in milliseconds. */
+/** A sample is dropped if it is nearer in time than this to one that is kept. */
 const SAMPLE_SPACING_MS = 25
-/** Samples kept; with the spacing they reach back further than reads may be stale. */
+/** Number of samples kept; with the spacing they reach back further than the largest allowed staleness of reads. */
 const MAX_SAMPLES = 400
 
-/** Which endpoint this VM takes for a service's primary. */
+/** The endpoint that is the service's primary as far as this VM knows. */
 export interface KnownPrimary {
   endpoint: string
   /** 0 while the term is not known. */
@@ -22,20 +22,20 @@
 /** Every write acknowledged before `atMs` lies at or before `position`. */
 export interface Sample { atMs: number, position: LogPosition }
 
-/** What a VM knows of one service's log: the primary, for how long to trust it, and positions. */
+/** What a VM knows of one service's log: the primary, the lease of its leadership, and positions. Times are on this VM's clock, in milliseconds. */
 export interface GroupState {
   service: string
   primary: KnownPrimary | null
-  /** No other primary has acknowledged a write before this time; reads of the primary are fresh until then. */
+  /** End of the leadership lease. Until then no other primary acknowledges a write, so reads from the primary are fresh. */
   trustEndsMs: number
   /** Samples, the newest first. */
   samples: Sample[]
   /** Latest position known to be acknowledged. */
   acknowledged: LogPosition | null
   acknowledgedAtMs: number
-  /** Last answer of the primary to this VM. */
+  /** Time of the primary's last response to this VM. */
   heardAtMs: number
-  /** Until then this VM has promised a promoter not to trust the primary. */
+  /** Until then the primary's leadership is revoked, as confirmed to the VM that runs a promotion. */
   revokedUntilMs: number
 }
 
@@ -45,9 +45,10 @@
 }
 
 /**
- * Takes in which endpoint leads; a belief of an older term is ignored.
+ * Records which endpoint leads at a term. Information of an older term is ignored.
  *
- * @returns whether the belief has changed
+ * @param term 0 while the term is not known
+ * @returns whether the known primary or its term changed
  */
 export function updatePrimary (state: GroupState, endpoint: string, term: number): boolean {
   const { primary } = state
@@ -71,15 +72,21 @@
   state.revokedUntilMs = -Infinity
 }
 
-/** Takes in that the primary surely led at `atMs`: it can only be replaced once a promoter has waited out the lease. */
+/**
+ * Records that the primary was verified to lead at `atMs`. Another endpoint can replace it only after the lease that begins then has
+ * expired. Ignored for times before the end of a revocation.
+ */
 export function recordLeadership (state: GroupState, endpoint: string, atMs: number): void {
   if (atMs < state.revokedUntilMs || state.primary?.endpoint !== endpoint) return
   state.trustEndsMs = Math.max(state.trustEndsMs, atMs + LEADER_LEASE_MS)
 }
 
 /**
- * Takes in an acknowledged commit. A replica has received it, which none does once a promoter has
- * fenced the group, so the endpoint led when the commit was sent.
+ * Records an acknowledged commit. A replica has received it, which is impossible once a promotion has fenced the group,
+ * so the endpoint led when the commit was sent.
+ *
+ * @param sentAtMs time at which the commit was sent to the endpoint
+ * @param position position of the commit; `null` if the response did not tell it
  */
 export function recordCommit (state: GroupState, endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint) return
@@ -88,19 +95,19 @@
   if (position !== null) recordAcknowledged(state, position)
 }
 
-/** Takes in a position that was acknowledged, by this VM or another. */
+/** Records a position that was acknowledged to this or another VM. */
 export function recordAcknowledged (state: GroupState, position: LogPosition): void {
   state.acknowledged = pickLaterPosition(state.acknowledged, position)
 }
 
-/** Takes in the log's end that the primary showed in an answer to what was sent at `sentAtMs`. */
+/** Records a response of the primary to a statement sent at `sentAtMs`, with the end of its log at that time. The position is kept as a sample only within the lease. */
 export function recordAnswer (state: GroupState, endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint) return
   state.heardAtMs = nowMs
   if (position !== null && sentAtMs <= state.trustEndsMs) addSample(state, { atMs: sentAtMs, position })
 }
 
-/** Adds a sample in the order of time. */
+/** Adds a sample, ordered by time. */
 export function addSample (state: GroupState, sample: Sample): void {
   const { samples } = state
   const index = samples.findIndex(s => s.atMs <= sample.atMs)
@@ -113,19 +120,19 @@
   if (samples.length > MAX_SAMPLES) samples.length = MAX_SAMPLES
 }
 
-/** Promises a promoter that reads no longer go to this primary by its lease. */
+/** Revokes the leadership lease of the endpoint on request of a promotion to `term`: reads no longer rely on it. Ignored if the known primary has a later term. */
 export function revokeTrust (state: GroupState, endpoint: string, term: number, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint || state.primary.term > term) return
   state.trustEndsMs = Math.min(state.trustEndsMs, nowMs)
   state.revokedUntilMs = nowMs + MAX_REVOCATION_MS
 }
 
-/** Lets proofs of leadership count again, after a promotion that did not come about. */
+/** Ends a revocation after a promotion that promoted no endpoint, so that leadership can be verified again. */
 export function restoreTrust (state: GroupState): void {
   state.revokedUntilMs = -Infinity
 }
 
-/** Whether a promoter is about to replace the primary. */
+/** Whether the primary's leadership is revoked because a promotion is in progress. */
 export function isRevoked (state: GroupState, nowMs: number): boolean {
   return nowMs < state.revokedUntilMs
 }
@@ -136,9 +143,9 @@
 }
 
 /**
- * The position that a log must hold to show every write acknowledged up to `maxStalenessMs` ago.
+ * Finds the position that a log must hold to contain every write acknowledged up to `maxStalenessMs` ago.
  *
- * @returns `undefined` when no position is known to
+ * @returns the oldest such position, or `undefined` if none is known
  */
 export function findRequiredPosition (state: GroupState, maxStalenessMs: number, nowMs: number): LogPosition | undefined {
   const notBeforeMs = nowMs - maxStalenessMs
@@ -150,7 +157,7 @@
   return found?.position
 }
 
-/** Whether `position` holds all that is known to be acknowledged. */
+/** Whether a log up to `position` contains every write that is known to be acknowledged. */
 export function hasEveryAcknowledgedWrite (state: GroupState, position: LogPosition): boolean {
   return state.acknowledged === null || comparePositions(position, state.acknowledged) >= 0
 }
