--- a/packages/gateway/src/failover/failover-watch.ts
+++ b/packages/gateway/src/failover/failover-watch.ts
@@ -102,7 +102,7 @@
       sinceLastResponseMs: nowMs - Math.max(state.heardAtMs, health?.heardAtMs ?? -Infinity, ...views.map(v => v.heardAtMs)),
       pendingWriteMs: Math.max(localPendingMs, ...views.map(v => v.pendingWriteMs)),
       sinceAcknowledgedMs: nowMs - Math.max(state.acknowledgedAtMs, ...views.map(v => v.acknowledgedAtMs)),
-      withoutPrimaryMs: group.leaderlessSinceMs === null ? 0 : nowMs - group.leaderlessSinceMs,
+      withoutPrimaryMs: group.withoutPrimarySinceMs === null ? 0 : nowMs - group.withoutPrimarySinceMs,
       isIsolated: listHeard(members, nowMs).length === 0 && listPossible(members, nowMs).length > 0,
       rank: computeRank(members, group.service, nowMs),
       hasCandidate: candidates.length > 0
--- a/packages/gateway/src/groups/group-table.ts
+++ b/packages/gateway/src/groups/group-table.ts
@@ -44,7 +44,7 @@
     for (const { event, entry } of changes) {
       if (event === 'lapsed') continue
       this.#options.logger.info(`endpoint ${event}`, { ...entry })
-      const group = this.#createMissingGroup(entry.service)
+      const group = this.#findOrCreateGroup(entry.service)
       if (event === 'removed') group.removeEntry(entry.endpoint)
       else this.#updateEntry(group, entry)
     }
@@ -55,9 +55,9 @@
     if (entry.role === 'primary' && group.state.primary?.endpoint !== entry.endpoint) this.#options.checkRole(group, entry)
   }
 
-  #createMissingGroup (service: string): ServiceGroup {
-    const known = this.#groups.get(service)
-    if (known !== undefined) return known
+  #findOrCreateGroup (service: string): ServiceGroup {
+    const existing = this.#groups.get(service)
+    if (existing !== undefined) return existing
     const { connector, clock, logger, recordOpened } = this.#options
     const group = new ServiceGroup({ service, connector, clock, logger, readLimits: (g, e) => this.#readLimits(g, e), recordOpened: () => recordOpened(service) })
     this.#groups.set(service, group)
@@ -68,10 +68,10 @@
     const { configuration, members, clock } = this.#options
     const service = configuration.current?.services.find(s => s.name === group.service)
     const { self } = members
-    const heard = listHeard(members, clock.readNow())
+    const reachable = listHeard(members, clock.readNow())
     const isLocal = self.failureDomain === entry.failureDomain
-    const localVms = heard.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
+    const localVms = reachable.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
     const isPrimary = group.state.primary?.endpoint === entry.endpoint
-    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: heard.length + 1, localVms, isLocal, isPrimary })
+    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: reachable.length + 1, localVms, isLocal, isPrimary })
   }
 }
--- a/packages/gateway/src/groups/service-group.ts
+++ b/packages/gateway/src/groups/service-group.ts
@@ -21,7 +21,7 @@
 }
 
 /** What another VM said of the primary; times are of this VM's clock. */
-export interface PeerView {
+export interface PeerReport {
   heardAtMs: number
   acknowledgedAtMs: number
   pendingWriteMs: number
@@ -37,9 +37,9 @@
   /** Writes and commits sent to the primary and not yet answered. */
   writesInFlight = 0
   /** What other VMs last said of the primary. */
-  readonly peers = new Map<string, PeerView>()
+  readonly peers = new Map<string, PeerReport>()
   /** Since when no endpoint is known to lead; `null` while one is. */
-  leaderlessSinceMs: number | null
+  withoutPrimarySinceMs: number | null
   readonly #options: ServiceGroupOptions
   readonly #changeListeners = new Set<() => void>()
 
@@ -47,7 +47,7 @@
     this.#options = options
     this.service = options.service
     this.state = createGroupState(options.service)
-    this.leaderlessSinceMs = options.clock.readNow()
+    this.withoutPrimarySinceMs = options.clock.readNow()
   }
 
   get primaryPool (): EndpointPool | undefined {
@@ -83,22 +83,22 @@
 
   /** Takes in which endpoint leads, unless something newer is known. */
   adoptPrimary (endpoint: string, term: number, source: string): void {
-    const before = this.state.primary === null ? null : { ...this.state.primary }
+    const previous = this.state.primary === null ? null : { ...this.state.primary }
     if (!updatePrimary(this.state, endpoint, term)) return
-    if (before?.endpoint !== endpoint) {
+    if (previous?.endpoint !== endpoint) {
       this.unansweredWriteSinceMs = null
       this.peers.clear()
     }
-    this.leaderlessSinceMs = null
-    this.#options.logger.info('primary changed', { service: this.service, endpoint, term, source, before })
+    this.withoutPrimarySinceMs = null
+    this.#options.logger.info('primary changed', { service: this.service, endpoint, term, source, previousPrimary: previous })
     this.#publishChange()
   }
 
   /** Takes in that the endpoint taken for the primary does not lead, and that none is known to. */
   resetPrimary (): void {
-    this.#options.logger.warn('primary unknown', { service: this.service, before: this.state.primary })
+    this.#options.logger.warn('primary unknown', { service: this.service, previousPrimary: this.state.primary })
     this.state.primary = null
-    this.leaderlessSinceMs = this.#options.clock.readNow()
+    this.withoutPrimarySinceMs = this.#options.clock.readNow()
     this.unansweredWriteSinceMs = null
   }
 
@@ -114,12 +114,12 @@
     recordSent(pool.health, sentAtMs)
     if (isWrite) this.#recordWriteSent(endpoint, sentAtMs)
     try {
-      const answer = await waitAtMost(send(), timeoutMs, () => new ConnectionLostError(`no answer within ${Math.round(timeoutMs)} ms`))
+      const response = await waitAtMost(send(), timeoutMs, () => new ConnectionLostError(`no answer within ${Math.round(timeoutMs)} ms`))
       const nowMs = clock.readNow()
       recordAnswered(pool.health, sentAtMs, nowMs)
-      if (isWrite) this.#recordWriteAnswer(endpoint, sentAtMs, answer, nowMs)
-      this.#recordPosition(endpoint, sentAtMs, answer.position, nowMs)
-      return answer
+      if (isWrite) this.#recordWriteResponse(endpoint, sentAtMs, response, nowMs)
+      this.#recordPosition(endpoint, sentAtMs, response.position, nowMs)
+      return response
     } catch (error) {
       recordUnanswered(pool.health, clock.readNow())
       throw error
@@ -136,9 +136,9 @@
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs ??= nowMs
   }
 
-  #recordWriteAnswer (endpoint: string, sentAtMs: number, answer: EndpointAnswer, nowMs: number): void {
+  #recordWriteResponse (endpoint: string, sentAtMs: number, response: EndpointAnswer, nowMs: number): void {
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs = null
-    if (answer.error === null && answer.state === 'idle') recordCommit(this.state, endpoint, sentAtMs, answer.position, nowMs)
+    if (response.error === null && response.state === 'idle') recordCommit(this.state, endpoint, sentAtMs, response.position, nowMs)
   }
 
   #recordPosition (endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
@@ -153,13 +153,13 @@
     if (isDone()) return true
     if (waitMs <= 0) return false
     return await new Promise(resolve => {
-      const end = (result: boolean): void => {
+      const finish = (result: boolean): void => {
         clearTimeout(timer)
         this.#changeListeners.delete(handleChange)
         resolve(result)
       }
-      const handleChange = (): void => { if (isDone()) end(true) }
-      const timer = setTimeout(() => end(isDone()), waitMs)
+      const handleChange = (): void => { if (isDone()) finish(true) }
+      const timer = setTimeout(() => finish(isDone()), waitMs)
       this.#changeListeners.add(handleChange)
     })
   }
