--- a/packages/gateway/src/groups/group-table.ts
+++ b/packages/gateway/src/groups/group-table.ts
@@ -8,7 +8,7 @@
 import { computeConnectionShare } from '../pool/connection-share.ts'
 import { ServiceGroup } from './service-group.ts'
 
-/** Assumed where the configuration does not name the service. */
+/** Connection limit of a service that the configuration does not name. */
 const DEFAULT_MAX_CONNECTIONS = 10
 
 export interface GroupTableOptions {
@@ -17,12 +17,13 @@
   logger: Logger
   configuration: ConfigurationHolder
   members: MemberState
+  /** Called for each connection that is opened to an endpoint of the service. */
   recordOpened: (service: string) => void
-  /** An endpoint newly says that it leads. */
+  /** Called if an endpoint that is not the known primary is registered as primary. */
   checkRole: (group: ServiceGroup, entry: EndpointEntry) => void
 }
 
-/** The groups of all services with registered endpoints. */
+/** The groups of all services for which endpoints have been registered. */
 export class GroupTable {
   readonly #options: GroupTableOptions
   readonly #groups = new Map<string, ServiceGroup>()
@@ -39,7 +40,7 @@
     return [...this.#groups.values()]
   }
 
-  /** Takes in what has changed in the directory. */
+  /** Applies changes of the directory to the groups. An endpoint whose registration has lapsed stays until it is removed. */
   applyChanges (changes: readonly DirectoryChange[]): void {
     for (const { event, entry } of changes) {
       if (event === 'lapsed') continue
@@ -64,6 +65,7 @@
     return group
   }
 
+  /** Computes this VM's share of the connections that the service may open to the endpoint. */
   #readLimits (group: ServiceGroup, entry: EndpointEntry): ConnectionLimits {
     const { configuration, members, clock } = this.#options
     const service = configuration.current?.services.find(s => s.name === group.service)
--- a/packages/gateway/src/groups/service-group.ts
+++ b/packages/gateway/src/groups/service-group.ts
@@ -8,7 +8,7 @@
 import { EndpointPool } from '../pool/endpoint-pool.ts'
 import { waitAtMost } from '../runtime/wait-at-most.ts'
 
-/** A draining endpoint gets no new work after this long, in milliseconds; it serves on for some seconds more. */
+/** A draining endpoint gets no new work after this long, although it continues to serve for some seconds more. */
 export const DRAINING_USE_MS = 4_000
 
 export interface ServiceGroupOptions {
@@ -17,13 +17,17 @@
   clock: Clock
   logger: Logger
   readLimits: (group: ServiceGroup, entry: EndpointEntry) => ConnectionLimits
+  /** Called for each connection that is opened to an endpoint. */
   recordOpened: () => void
 }
 
-/** What another VM said of the primary; times are of this VM's clock. */
+/** What another VM reported about the primary. Times are on this VM's clock, in milliseconds. */
 export interface PeerReport {
+  /** Time of the primary's last response to that VM. */
   heardAtMs: number
+  /** Time at which the primary last acknowledged a write of that VM. */
   acknowledgedAtMs: number
+  /** For how long writes of that VM have been pending without a response. */
   pendingWriteMs: number
 }
 
@@ -32,13 +36,13 @@
   readonly service: string
   readonly state: GroupState
   readonly pools = new Map<string, EndpointPool>()
-  /** When the first write was sent to the primary that no write's answer has followed; `null` for none. */
+  /** Time at which the first write was sent to the primary since its last response to a write; `null` if no write has been sent since. */
   unansweredWriteSinceMs: number | null = null
-  /** Writes and commits sent to the primary and not yet answered. */
+  /** Number of writes and commits sent to the primary that are still pending. */
   writesInFlight = 0
-  /** What other VMs last said of the primary. */
+  /** Last report of each other VM about the primary, by VM name. */
   readonly peers = new Map<string, PeerReport>()
-  /** Since when no endpoint is known to lead; `null` while one is. */
+  /** Time since when no primary is known; `null` while one is. */
   withoutPrimarySinceMs: number | null
   readonly #options: ServiceGroupOptions
   readonly #changeListeners = new Set<() => void>()
@@ -50,6 +54,7 @@
     this.withoutPrimarySinceMs = options.clock.readNow()
   }
 
+  /** The pool of the known primary; `undefined` if no primary is known or it is not registered. */
   get primaryPool (): EndpointPool | undefined {
     const { primary } = this.state
     return primary === null ? undefined : this.pools.get(primary.endpoint)
@@ -62,7 +67,7 @@
     return pool !== undefined && pool.measureDraining(nowMs) < DRAINING_USE_MS && !isRevoked(this.state, nowMs)
   }
 
-  /** Takes in a registered endpoint. */
+  /** Adds or updates a registered endpoint. An endpoint with a new address gets a new pool. */
   updateEntry (entry: EndpointEntry): void {
     const { clock, connector, logger, readLimits, recordOpened } = this.#options
     const pool = this.pools.get(entry.endpoint)
@@ -81,7 +86,12 @@
     this.#publishChange()
   }
 
-  /** Takes in which endpoint leads, unless something newer is known. */
+  /**
+   * Records which endpoint leads, unless a primary of a newer term is known.
+   *
+   * @param term 0 if the term is not known
+   * @param source where the information comes from, for the log
+   */
   adoptPrimary (endpoint: string, term: number, source: string): void {
     const previous = this.state.primary === null ? null : { ...this.state.primary }
     if (!updatePrimary(this.state, endpoint, term)) return
@@ -94,7 +104,7 @@
     this.#publishChange()
   }
 
-  /** Takes in that the endpoint taken for the primary does not lead, and that none is known to. */
+  /** Records that the known primary no longer leads and that no other endpoint is known to. */
   resetPrimary (): void {
     this.#options.logger.warn('primary unknown', { service: this.service, previousPrimary: this.state.primary })
     this.state.primary = null
@@ -103,9 +113,9 @@
   }
 
   /**
-   * Runs one statement on a connection of this group and takes in what its answer shows.
+   * Runs one statement on a connection of this group and records what its response tells about the endpoint and the log.
    *
-   * @throws ConnectionLostError when no answer came within `timeoutMs`; the connection must not be used again
+   * @throws ConnectionLostError if no response arrived within `timeoutMs`; the connection must not be used again
    */
   async runStatement (pool: EndpointPool, isWrite: boolean, timeoutMs: number, send: () => Promise<EndpointAnswer>): Promise<EndpointAnswer> {
     const { clock } = this.#options
@@ -148,7 +158,7 @@
     recordAnswer(this.state, endpoint, sentAtMs, position, nowMs)
   }
 
-  /** Waits until `isDone`, at most `waitMs`. @returns whether it came about */
+  /** Waits until `isDone` returns true, for at most `waitMs`. It is checked after each change of the group. @returns whether the condition was met */
   async waitUntil (isDone: () => boolean, waitMs: number): Promise<boolean> {
     if (isDone()) return true
     if (waitMs <= 0) return false
@@ -164,7 +174,7 @@
     })
   }
 
-  /** Tells those who wait that something may have changed. */
+  /** Has all `waitUntil` calls check their condition again. */
   publishChange (): void {
     this.#publishChange()
   }
