--- a/packages/gateway/src/failover/run-promotion.ts
+++ b/packages/gateway/src/failover/run-promotion.ts
@@ -9,15 +9,15 @@
 import { pickCandidate, type FencedEndpoint, type PromotionReason } from './decide-promotion.ts'
 import type { Claim, DutyClaims } from './duty-claim.ts'
 
-/** Limit for all VMs to confirm that they have revoked the primary's leadership. */
+/** Time that the VMs have to confirm that they revoked the primary's leadership. */
 const REVOKE_TIMEOUT_MS = 250
-/** The same limit in a planned change, in which VMs let statements in flight at the primary finish before they confirm. */
+/** Time to confirm in a planned change, in which VMs may let statements in flight at the primary finish first. */
 const PLANNED_REVOKE_TIMEOUT_MS = 700
-/** Limit for a replica to receive the complete log of a primary that has stepped down. */
+/** Time that the replicas have to receive the complete log of a primary that has stepped down. */
 const CATCH_UP_TIMEOUT_MS = 600
 const STATUS_INTERVAL_MS = 100
 const PROMOTE_TIMEOUT_MS = 700
-/** Limit for the promoted endpoint to report that it is primary. */
+/** Time that an endpoint has to report that it is primary after its promotion was requested. */
 const PROMOTION_EFFECT_TIMEOUT_MS = 3_500
 const MAX_BUSY_ATTEMPTS = 4
 const RETRY_DELAY_MS = 25
--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -1,7 +1,7 @@
 import { COUNTING_VMS_PER_LIMIT } from './counting-vms.ts'
 import { computeQuotaShare, type Demand, type FleetDemand } from './quota.ts'
 
-/** Older demand reports are dropped. Longer than it takes to poll every VM of a large fleet once. */
+/** Demand reports older than this are dropped. It is longer than polling every VM of a large fleet once takes. */
 const MAX_REPORT_AGE_MS = 60_000
 
 interface VmDemand { demand: Demand, receivedAtMs: number }
@@ -46,7 +46,7 @@
 
 /**
  * Updates this VM's demand. Unless every VM receives the new counts, they may only decrease: the other VMs
- * still compute their shares from the last report that they received, so a growing share here would exceed the limit.
+ * still compute their shares from the last report that they received, so the shares together would exceed the limit if this VM's share grew.
  */
 export function updateLocalDemand (shares: DemandShares, demand: Demand, isKnownToAll: boolean): void {
   shares.publishedLocal = shares.local
--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -5,9 +5,9 @@
 import type { QuotaKeeper } from './quota-keeper.ts'
 import type { QuotaVerdict } from './quota.ts'
 
-/** Limit for a counting VM's response while a client waits for the verdict; well above a round trip between regions. */
+/** Timeout of a request to a counting VM while a client waits for the verdict; well above a round trip between regions. */
 const RESPONSE_TIMEOUT_MS = 60
-/** Limit for a counting VM's response when the operation has been admitted already and no client waits. */
+/** Timeout of a request to a counting VM if the operation has been admitted already, so that no client waits. */
 const BACKGROUND_RESPONSE_TIMEOUT_MS = 1_000
 /** No request is sent to a counting VM for this long after it failed to respond. */
 const UNRESPONSIVE_BACKOFF_MS = 1_000
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -7,7 +7,7 @@
 const SLACK_HEADROOM_FRACTION = 0.5
 /** Fraction of the tolerated overshoot that the VMs together add to their bursts. The overshoot must also cover shares that do not add up to 1 while demand moves. */
 const OVERSHOOT_HEADROOM_FRACTION = 0.1
-/** Fraction of that headroom where only a few VMs count a limit: their shares are large, and the other VMs may admit some operations uncounted. */
+/** Fraction of this headroom that is used if only a few VMs count a limit: their shares are large, and the other VMs may admit some operations uncounted. */
 const FEW_VMS_HEADROOM_FRACTION = 0.6
 /** Fraction of the allowed excess that restarted VMs may use at once, as they do not know what was used before. */
 const RESTART_EXCESS_FRACTION = 0.1
