--- a/packages/gateway/src/groups/group-table.ts
+++ b/packages/gateway/src/groups/group-table.ts
@@ -8,7 +8,7 @@
 import { computeConnectionShare } from '../pool/connection-share.ts'
 import { ServiceGroup } from './service-group.ts'
 
-/** Assumed where the configuration does not name the service. */
+/** Connection limit of a service that the configuration does not name. */
 const DEFAULT_MAX_CONNECTIONS = 10
 
 export interface GroupTableOptions {
@@ -17,12 +17,13 @@
   logger: Logger
   configuration: ConfigurationHolder
   members: MemberState
+  /** Called for each connection that is opened to an endpoint of the service. */
   recordOpened: (service: string) => void
-  /** An endpoint newly says that it leads. */
+  /** Called if an endpoint that is not the known primary is registered as primary. */
   checkRole: (group: ServiceGroup, entry: EndpointEntry) => void
 }
 
-/** The groups of all services with registered endpoints. */
+/** The groups of all services for which endpoints have been registered. */
 export class GroupTable {
   readonly #options: GroupTableOptions
   readonly #groups = new Map<string, ServiceGroup>()
@@ -39,12 +40,12 @@
     return [...this.#groups.values()]
   }
 
-  /** Takes in what has changed in the directory. */
+  /** Applies changes of the directory to the groups. An endpoint whose registration has lapsed stays until it is removed. */
   applyChanges (changes: readonly DirectoryChange[]): void {
     for (const { event, entry } of changes) {
       if (event === 'lapsed') continue
       this.#options.logger.info(`endpoint ${event}`, { ...entry })
-      const group = this.#createMissingGroup(entry.service)
+      const group = this.#findOrCreateGroup(entry.service)
       if (event === 'removed') group.removeEntry(entry.endpoint)
       else this.#updateEntry(group, entry)
     }
@@ -55,23 +56,24 @@
     if (entry.role === 'primary' && group.state.primary?.endpoint !== entry.endpoint) this.#options.checkRole(group, entry)
   }
 
-  #createMissingGroup (service: string): ServiceGroup {
-    const known = this.#groups.get(service)
-    if (known !== undefined) return known
+  #findOrCreateGroup (service: string): ServiceGroup {
+    const existing = this.#groups.get(service)
+    if (existing !== undefined) return existing
     const { connector, clock, logger, recordOpened } = this.#options
     const group = new ServiceGroup({ service, connector, clock, logger, readLimits: (g, e) => this.#readLimits(g, e), recordOpened: () => recordOpened(service) })
     this.#groups.set(service, group)
     return group
   }
 
+  /** Computes this VM's share of the connections that the service may open to the endpoint. */
   #readLimits (group: ServiceGroup, entry: EndpointEntry): ConnectionLimits {
     const { configuration, members, clock } = this.#options
     const service = configuration.current?.services.find(s => s.name === group.service)
     const { self } = members
-    const heard = listHeard(members, clock.readNow())
+    const reachable = listHeard(members, clock.readNow())
     const isLocal = self.failureDomain === entry.failureDomain
-    const localVms = heard.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
+    const localVms = reachable.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
     const isPrimary = group.state.primary?.endpoint === entry.endpoint
-    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: heard.length + 1, localVms, isLocal, isPrimary })
+    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: reachable.length + 1, localVms, isLocal, isPrimary })
   }
 }
--- a/packages/gateway/src/groups/service-group.ts
+++ b/packages/gateway/src/groups/service-group.ts
@@ -8,7 +8,7 @@
 import { EndpointPool } from '../pool/endpoint-pool.ts'
 import { waitAtMost } from '../runtime/wait-at-most.ts'
 
-/** A draining endpoint gets no new work after this long, in milliseconds; it serves on for some seconds more. */
+/** A draining endpoint gets no new work after this long, although it continues to serve for some seconds more. */
 export const DRAINING_USE_MS = 4_000
 
 export interface ServiceGroupOptions {
@@ -17,13 +17,17 @@
   clock: Clock
   logger: Logger
   readLimits: (group: ServiceGroup, entry: EndpointEntry) => ConnectionLimits
+  /** Called for each connection that is opened to an endpoint. */
   recordOpened: () => void
 }
 
-/** What another VM said of the primary; times are of this VM's clock. */
-export interface PeerView {
+/** What another VM reported about the primary. Times are on this VM's clock, in milliseconds. */
+export interface PeerReport {
+  /** Time of the primary's last response to that VM. */
   heardAtMs: number
+  /** Time at which the primary last acknowledged a write of that VM. */
   acknowledgedAtMs: number
+  /** For how long writes of that VM have been pending without a response. */
   pendingWriteMs: number
 }
 
@@ -32,14 +36,14 @@
   readonly service: string
   readonly state: GroupState
   readonly pools = new Map<string, EndpointPool>()
-  /** When the first write was sent to the primary that no write's answer has followed; `null` for none. */
+  /** Time at which the first write was sent to the primary since its last response to a write; `null` if no write has been sent since. */
   unansweredWriteSinceMs: number | null = null
-  /** Writes and commits sent to the primary and not yet answered. */
+  /** Number of writes and commits sent to the primary that are still pending. */
   writesInFlight = 0
-  /** What other VMs last said of the primary. */
-  readonly peers = new Map<string, PeerView>()
-  /** Since when no endpoint is known to lead; `null` while one is. */
-  leaderlessSinceMs: number | null
+  /** Last report of each other VM about the primary, by VM name. */
+  readonly peers = new Map<string, PeerReport>()
+  /** Time since when no primary is known; `null` while one is. */
+  withoutPrimarySinceMs: number | null
   readonly #options: ServiceGroupOptions
   readonly #changeListeners = new Set<() => void>()
 
@@ -47,9 +51,10 @@
     this.#options = options
     this.service = options.service
     this.state = createGroupState(options.service)
-    this.leaderlessSinceMs = options.clock.readNow()
+    this.withoutPrimarySinceMs = options.clock.readNow()
   }
 
+  /** The pool of the known primary; `undefined` if no primary is known or it is not registered. */
   get primaryPool (): EndpointPool | undefined {
     const { primary } = this.state
     return primary === null ? undefined : this.pools.get(primary.endpoint)
@@ -62,7 +67,7 @@
     return pool !== undefined && pool.measureDraining(nowMs) < DRAINING_USE_MS && !isRevoked(this.state, nowMs)
   }
 
-  /** Takes in a registered endpoint. */
+  /** Adds or updates a registered endpoint. An endpoint with a new address gets a new pool. */
   updateEntry (entry: EndpointEntry): void {
     const { clock, connector, logger, readLimits, recordOpened } = this.#options
     const pool = this.pools.get(entry.endpoint)
@@ -81,31 +86,36 @@
     this.#publishChange()
   }
 
-  /** Takes in which endpoint leads, unless something newer is known. */
+  /**
+   * Records which endpoint leads, unless a primary of a newer term is known.
+   *
+   * @param term 0 if the term is not known
+   * @param source where the information comes from, for the log
+   */
   adoptPrimary (endpoint: string, term: number, source: string): void {
-    const before = this.state.primary === null ? null : { ...this.state.primary }
+    const previous = this.state.primary === null ? null : { ...this.state.primary }
     if (!updatePrimary(this.state, endpoint, term)) return
-    if (before?.endpoint !== endpoint) {
+    if (previous?.endpoint !== endpoint) {
       this.unansweredWriteSinceMs = null
       this.peers.clear()
     }
-    this.leaderlessSinceMs = null
-    this.#options.logger.info('primary changed', { service: this.service, endpoint, term, source, before })
+    this.withoutPrimarySinceMs = null
+    this.#options.logger.info('primary changed', { service: this.service, endpoint, term, source, previousPrimary: previous })
     this.#publishChange()
   }
 
-  /** Takes in that the endpoint taken for the primary does not lead, and that none is known to. */
+  /** Records that the known primary no longer leads and that no other endpoint is known to. */
   resetPrimary (): void {
-    this.#options.logger.warn('primary unknown', { service: this.service, before: this.state.primary })
+    this.#options.logger.warn('primary unknown', { service: this.service, previousPrimary: this.state.primary })
     this.state.primary = null
-    this.leaderlessSinceMs = this.#options.clock.readNow()
+    this.withoutPrimarySinceMs = this.#options.clock.readNow()
     this.unansweredWriteSinceMs = null
   }
 
   /**
-   * Runs one statement on a connection of this group and takes in what its answer shows.
+   * Runs one statement on a connection of this group and records what its response tells about the endpoint and the log.
    *
-   * @throws ConnectionLostError when no answer came within `timeoutMs`; the connection must not be used again
+   * @throws ConnectionLostError if no response arrived within `timeoutMs`; the connection must not be used again
    */
   async runStatement (pool: EndpointPool, isWrite: boolean, timeoutMs: number, send: () => Promise<EndpointAnswer>): Promise<EndpointAnswer> {
     const { clock } = this.#options
@@ -114,12 +124,12 @@
     recordSent(pool.health, sentAtMs)
     if (isWrite) this.#recordWriteSent(endpoint, sentAtMs)
     try {
-      const answer = await waitAtMost(send(), timeoutMs, () => new ConnectionLostError(`no answer within ${Math.round(timeoutMs)} ms`))
+      const response = await waitAtMost(send(), timeoutMs, () => new ConnectionLostError(`no answer within ${Math.round(timeoutMs)} ms`))
       const nowMs = clock.readNow()
       recordAnswered(pool.health, sentAtMs, nowMs)
-      if (isWrite) this.#recordWriteAnswer(endpoint, sentAtMs, answer, nowMs)
-      this.#recordPosition(endpoint, sentAtMs, answer.position, nowMs)
-      return answer
+      if (isWrite) this.#recordWriteResponse(endpoint, sentAtMs, response, nowMs)
+      this.#recordPosition(endpoint, sentAtMs, response.position, nowMs)
+      return response
     } catch (error) {
       recordUnanswered(pool.health, clock.readNow())
       throw error
@@ -136,9 +146,9 @@
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs ??= nowMs
   }
 
-  #recordWriteAnswer (endpoint: string, sentAtMs: number, answer: EndpointAnswer, nowMs: number): void {
+  #recordWriteResponse (endpoint: string, sentAtMs: number, response: EndpointAnswer, nowMs: number): void {
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs = null
-    if (answer.error === null && answer.state === 'idle') recordCommit(this.state, endpoint, sentAtMs, answer.position, nowMs)
+    if (response.error === null && response.state === 'idle') recordCommit(this.state, endpoint, sentAtMs, response.position, nowMs)
   }
 
   #recordPosition (endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
@@ -148,23 +158,23 @@
     recordAnswer(this.state, endpoint, sentAtMs, position, nowMs)
   }
 
-  /** Waits until `isDone`, at most `waitMs`. @returns whether it came about */
+  /** Waits until `isDone` returns true, for at most `waitMs`. It is checked after each change of the group. @returns whether the condition was met */
   async waitUntil (isDone: () => boolean, waitMs: number): Promise<boolean> {
     if (isDone()) return true
     if (waitMs <= 0) return false
     return await new Promise(resolve => {
-      const end = (result: boolean): void => {
+      const finish = (result: boolean): void => {
         clearTimeout(timer)
         this.#changeListeners.delete(handleChange)
         resolve(result)
       }
-      const handleChange = (): void => { if (isDone()) end(true) }
-      const timer = setTimeout(() => end(isDone()), waitMs)
+      const handleChange = (): void => { if (isDone()) finish(true) }
+      const timer = setTimeout(() => finish(isDone()), waitMs)
       this.#changeListeners.add(handleChange)
     })
   }
 
-  /** Tells those who wait that something may have changed. */
+  /** Has all `waitUntil` calls check their condition again. */
   publishChange (): void {
     this.#publishChange()
   }
--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -5,166 +5,176 @@
 import type { QuotaKeeper } from './quota-keeper.ts'
 import type { QuotaVerdict } from './quota.ts'
 
-/** Longest wait for a counting VM's answer while the client waits, in milliseconds; well above a round trip between regions. */
-const ANSWER_WAIT_MS = 60
-/** The same where no client waits, in milliseconds. */
-const LATE_ANSWER_WAIT_MS = 1_000
-/** A VM that has not answered is not asked for this long, in milliseconds. */
-const AVOID_MS = 1_000
-/** A refusal by all counting VMs is repeated without asking for this long at most, in milliseconds. */
-const MOST_REMEMBERED_MS = 500
-/** When an operation that nobody could count is worth repeating, in milliseconds. */
-const UNCOUNTED_RETRY_MS = 500
-/** A workspace counts as calm for this long after a counting VM said so, in milliseconds. */
-const CALM_LIFE_MS = 20_000
-/** Part by which the usual number of operations follows the latest one. */
-const USUAL_GAIN = 0.1
+/** Timeout of a request to a counting VM while a client waits for the verdict; well above a round trip between regions. */
+const RESPONSE_TIMEOUT_MS = 60
+/** Timeout of a request to a counting VM if the operation has been admitted already, so that no client waits. */
+const BACKGROUND_RESPONSE_TIMEOUT_MS = 1_000
+/** No request is sent to a counting VM for this long after it failed to respond. */
+const UNRESPONSIVE_BACKOFF_MS = 1_000
+/** After the counting VMs refused an operation, further ones of the workspace are refused without a request for at most this long. */
+const MAX_REFUSAL_CACHE_MS = 500
+/** Time after which a client should retry an operation that no counting VM could count. */
+const UNCOUNTED_RETRY_AFTER_MS = 500
+/** A counting VM's statement that a workspace is below its limit holds for this long. */
+const BELOW_LIMIT_VALID_MS = 20_000
+/** Weight of the latest count in the moving average of operations admitted in a window, from 0 to 1. */
+const USUAL_COUNT_WEIGHT = 0.1
 
 export interface PermitRequestsOptions {
   clock: Clock
   logger: Logger
+  /** Window over which limits hold, in milliseconds. */
   windowMs: number
   counting: CountingVms
   quotas: QuotaKeeper
   send: (vm: string, message: FleetMessage) => void
 }
 
-interface OpenRequest { vm: string, finish: (answer: Permitted | null) => void }
+interface PendingRequest { vm: string, finish: (result: Permitted | null) => void }
 
-/** What was last heard on a workspace. */
+/** What the counting VMs' responses told about a workspace. */
 interface WorkspaceState {
+  /** Operations are refused without a request until then. */
   refusedUntilMs: number
-  /** `null` before any counting VM has answered. */
-  calmUntilMs: number | null
-  /** Operations in a window that this VM's clients have usually been admitted. */
-  usual: number
-  /** When each operation was admitted that no counting VM is known to have counted, the oldest first. */
-  uncountedAtMs: number[]
+  /** The workspace is taken to be below its limit until then; `null` before any counting VM has responded. */
+  belowLimitUntilMs: number | null
+  /** Moving average of the operations that counting VMs admitted for this VM's clients in a window. */
+  usualCount: number
+  /** Times at which operations were admitted that no counting VM has confirmed to have counted yet, the oldest first. */
+  uncountedTimesMs: number[]
 }
 
 /**
- * Asks the VMs that count a workspace's limit to admit an operation: the nearest first, then the others,
- * as their parts may not be used up.
+ * Requests permits for operations from the VMs that count a workspace's limit: from the nearest first, then from the
+ * others, whose shares may not be used up.
  *
- * While a workspace asks for well below its limit its operations are admitted at once and only told to a
- * counting VM. This goes on as long as answers come; without, for no more than was usual here in a window,
- * so that slow links and lost counting VMs harm few callers and a limit stays bounded.
+ * While a workspace is well below its limit, its operations are admitted optimistically: at once, with a report to a
+ * counting VM afterwards. Without a confirmation from a counting VM, the operations admitted in a window are limited to one more
+ * than this VM's usual number. So slow links and lost counting VMs affect few clients, and the excess over the limit stays bounded.
  */
 export class PermitRequests {
   readonly #options: PermitRequestsOptions
-  readonly #open = new Map<number, OpenRequest>()
-  readonly #avoidedUntilMs = new Map<string, number>()
+  readonly #pending = new Map<number, PendingRequest>()
+  readonly #skippedUntilMs = new Map<string, number>()
   readonly #workspaces = new Map<string, WorkspaceState>()
-  readonly #admitted
+  readonly #admittedWindow
   #sequence = 0
 
   constructor (options: PermitRequestsOptions) {
     this.#options = options
-    this.#admitted = createDemandWindow(options.windowMs)
+    this.#admittedWindow = createDemandWindow(options.windowMs)
   }
 
+  /** Decides whether an operation of the workspace is admitted. If no counting VM responds, the verdict is a refusal with `isUncounted`. */
   async request (workspace: string): Promise<QuotaVerdict> {
     const { clock } = this.#options
     const nowMs = clock.readNow()
     const state = this.#findState(workspace)
     if (nowMs < state.refusedUntilMs) return { isAdmitted: false, retryAfterMs: Math.ceil(state.refusedUntilMs - nowMs) }
-    if (this.#canAdmitAhead(workspace, state, nowMs)) {
-      this.#admitAhead(workspace, state, nowMs)
+    if (this.#canAdmitOptimistically(workspace, state, nowMs)) {
+      this.#admitOptimistically(workspace, state, nowMs)
       return { isAdmitted: true }
     }
-    const refusals = await this.#requestFromAll(workspace, state)
-    if (refusals === 'admitted') return { isAdmitted: true }
-    if (refusals.length === 0) return { isAdmitted: false, retryAfterMs: UNCOUNTED_RETRY_MS, isUncounted: true }
-    const retryAfterMs = Math.min(...refusals)
-    state.refusedUntilMs = clock.readNow() + Math.min(MOST_REMEMBERED_MS, retryAfterMs)
+    const outcome = await this.#requestFromAll(workspace, state)
+    if (outcome === 'admitted') return { isAdmitted: true }
+    if (outcome.length === 0) return { isAdmitted: false, retryAfterMs: UNCOUNTED_RETRY_AFTER_MS, isUncounted: true }
+    const retryAfterMs = Math.min(...outcome)
+    state.refusedUntilMs = clock.readNow() + Math.min(MAX_REFUSAL_CACHE_MS, retryAfterMs)
     return { isAdmitted: false, retryAfterMs }
   }
 
-  handleAnswer (vm: string, answer: Permitted): void {
-    this.#avoidedUntilMs.delete(vm) // Also by a late answer: the VM runs, and its link is slow.
-    const request = this.#open.get(answer.request)
-    if (request?.vm === vm) request.finish(answer)
+  /** Handles a counting VM's response, which may arrive after its request has timed out. */
+  handleAnswer (vm: string, response: Permitted): void {
+    this.#skippedUntilMs.delete(vm) // A late response also ends the backoff: the VM runs, only its link is slow.
+    const request = this.#pending.get(response.request)
+    if (request?.vm === vm) request.finish(response)
   }
 
-  /** Takes in that the link to a VM is lost: what it was asked gets no answer. */
+  /** Ends the requests that are pending at a VM after the link to it was lost, as if they had timed out. */
   handleLoss (vm: string): void {
-    for (const request of this.#open.values()) if (request.vm === vm) request.finish(null)
+    for (const request of this.#pending.values()) if (request.vm === vm) request.finish(null)
   }
 
-  #canAdmitAhead (workspace: string, state: WorkspaceState, nowMs: number): boolean {
+  #canAdmitOptimistically (workspace: string, state: WorkspaceState, nowMs: number): boolean {
     const { windowMs, quotas } = this.#options
-    while (nowMs - (state.uncountedAtMs[0] ?? nowMs) >= windowMs) state.uncountedAtMs.shift()
-    const isCalm = state.calmUntilMs === null ? quotas.isReportedCalm(workspace) : nowMs < state.calmUntilMs
-    return isCalm && state.uncountedAtMs.length < 1 + state.usual
+    while (nowMs - (state.uncountedTimesMs[0] ?? nowMs) >= windowMs) state.uncountedTimesMs.shift()
+    const isBelowLimit = state.belowLimitUntilMs === null ? quotas.isReportedBelowLimit(workspace) : nowMs < state.belowLimitUntilMs
+    return isBelowLimit && state.uncountedTimesMs.length < 1 + state.usualCount
   }
 
-  /** Tells a counting VM, the next one if that does not answer, of an operation that is admitted already. */
-  #admitAhead (workspace: string, state: WorkspaceState, nowMs: number): void {
-    state.uncountedAtMs.push(nowMs)
+  /** Reports an operation that is already admitted to a counting VM or, if that does not respond or does not count the limit, to the next one. */
+  #admitOptimistically (workspace: string, state: WorkspaceState, nowMs: number): void {
+    state.uncountedTimesMs.push(nowMs)
     const requestNext = async (): Promise<void> => {
-      for (const vm of this.#listAsked(workspace)) {
-        const answer = await this.#requestFrom(vm, { workspace, isRepeated: false, isAdmitted: true, waitMs: LATE_ANSWER_WAIT_MS })
-        if (answer === null || answer.result === 'notCounted') continue
-        this.#recordAnswer(workspace, state, answer)
-        const index = state.uncountedAtMs.indexOf(nowMs)
-        if (index >= 0) state.uncountedAtMs.splice(index, 1)
+      for (const vm of this.#listTargets(workspace)) {
+        const response = await this.#requestFrom(vm, { workspace, isRepeated: false, isAdmitted: true, waitMs: BACKGROUND_RESPONSE_TIMEOUT_MS })
+        if (response === null || response.result === 'notCounted') continue
+        this.#recordResponse(workspace, state, response)
+        const index = state.uncountedTimesMs.indexOf(nowMs)
+        if (index >= 0) state.uncountedTimesMs.splice(index, 1)
         return
       }
     }
-    requestNext().catch((error: unknown) => this.#options.logger.error('operation not counted', { workspace, error: String(error) }))
+    requestNext().catch((error: unknown) => this.#options.logger.error('reporting an admitted operation failed', { workspace, error: String(error) }))
   }
 
-  /** @returns `'admitted'`, or when each VM that refused would admit one, in milliseconds */
+  /**
+   * Requests a permit from one counting VM after the other until one admits the operation.
+   *
+   * @returns `'admitted'`, or for each VM that refused, the time in milliseconds after which it would admit an operation
+   */
   async #requestFromAll (workspace: string, state: WorkspaceState): Promise<'admitted' | number[]> {
-    const refusals: number[] = []
-    for (const vm of this.#listAsked(workspace)) {
-      const answer = await this.#requestFrom(vm, { workspace, isRepeated: refusals.length > 0, isAdmitted: false, waitMs: ANSWER_WAIT_MS })
-      if (answer === null || answer.result === 'notCounted') continue
-      this.#recordAnswer(workspace, state, answer)
-      if (answer.result === 'admitted') return 'admitted'
-      refusals.push(answer.retryAfterMs ?? UNCOUNTED_RETRY_MS)
+    const retryDelaysMs: number[] = []
+    for (const vm of this.#listTargets(workspace)) {
+      const response = await this.#requestFrom(vm, { workspace, isRepeated: retryDelaysMs.length > 0, isAdmitted: false, waitMs: RESPONSE_TIMEOUT_MS })
+      if (response === null || response.result === 'notCounted') continue
+      this.#recordResponse(workspace, state, response)
+      if (response.result === 'admitted') return 'admitted'
+      retryDelaysMs.push(response.retryAfterMs ?? UNCOUNTED_RETRY_AFTER_MS)
     }
-    return refusals
+    return retryDelaysMs
   }
 
-  #listAsked (workspace: string): string[] {
+  /** Lists the counting VMs to send a request to, nearest first, without those that failed to respond lately. */
+  #listTargets (workspace: string): string[] {
     const { clock, counting } = this.#options
-    return counting.listNearest(workspace).map(e => e.vm).filter(vm => clock.readNow() >= (this.#avoidedUntilMs.get(vm) ?? -Infinity))
+    return counting.listNearest(workspace).map(e => e.vm).filter(vm => clock.readNow() >= (this.#skippedUntilMs.get(vm) ?? -Infinity))
   }
 
-  #recordAnswer (workspace: string, state: WorkspaceState, answer: Permitted): void {
+  #recordResponse (workspace: string, state: WorkspaceState, response: Permitted): void {
     const nowMs = this.#options.clock.readNow()
-    state.calmUntilMs = answer.isCalm ? nowMs + CALM_LIFE_MS : -Infinity
-    if (answer.result !== 'admitted') return
-    recordDemand(this.#admitted, workspace, nowMs)
-    state.usual += USUAL_GAIN * ((sumDemand(this.#admitted, nowMs).get(workspace) ?? 0) - state.usual)
+    state.belowLimitUntilMs = response.isCalm ? nowMs + BELOW_LIMIT_VALID_MS : -Infinity
+    if (response.result !== 'admitted') return
+    recordDemand(this.#admittedWindow, workspace, nowMs)
+    state.usualCount += USUAL_COUNT_WEIGHT * ((sumDemand(this.#admittedWindow, nowMs).get(workspace) ?? 0) - state.usualCount)
   }
 
+  /** @returns `null` if the VM did not respond within `waitMs` or the link to it was lost */
   async #requestFrom (vm: string, { workspace, isRepeated, isAdmitted, waitMs }: { workspace: string, isRepeated: boolean, isAdmitted: boolean, waitMs: number }): Promise<Permitted | null> {
     const { quotas, send, logger, clock } = this.#options
     const request = ++this.#sequence
     const permit = { type: 'permit' as const, request, workspace, isRepeated, isAdmitted }
     if (vm === quotas.vm) return quotas.answerPermit(permit)
-    const answer = await new Promise<Permitted | null>(resolve => {
-      const finish = (value: Permitted | null): void => {
+    const response = await new Promise<Permitted | null>(resolve => {
+      const finish = (response: Permitted | null): void => {
         clearTimeout(timer)
-        this.#open.delete(request)
-        resolve(value)
+        this.#pending.delete(request)
+        resolve(response)
       }
       const timer = setTimeout(() => finish(null), waitMs)
-      this.#open.set(request, { vm, finish })
+      this.#pending.set(request, { vm, finish })
       send(vm, permit)
     })
-    if (answer !== null) return answer
-    this.#avoidedUntilMs.set(vm, clock.readNow() + AVOID_MS)
-    logger.info('counting vm not answering', { vm, workspace, avoidedMs: AVOID_MS })
+    if (response !== null) return response
+    this.#skippedUntilMs.set(vm, clock.readNow() + UNRESPONSIVE_BACKOFF_MS)
+    logger.info('counting VM did not respond', { vm, workspace, backoffMs: UNRESPONSIVE_BACKOFF_MS })
     return null
   }
 
   #findState (workspace: string): WorkspaceState {
     let state = this.#workspaces.get(workspace)
     if (state === undefined) {
-      state = { refusedUntilMs: -Infinity, calmUntilMs: null, usual: 0, uncountedAtMs: [] }
+      state = { refusedUntilMs: -Infinity, belowLimitUntilMs: null, usualCount: 0, uncountedTimesMs: [] }
       this.#workspaces.set(workspace, state)
     }
     return state
