--- a/packages/gateway/src/pool/connection-plan.ts
+++ b/packages/gateway/src/pool/connection-plan.ts
@@ -6,17 +6,17 @@
   session: string | null
   state: 'opening' | 'idle' | 'busy'
   /** When it was last used or opened. */
-  usedAtMs: number
+  lastUsedAtMs: number
 }
 
 /** A request for a connection. */
-export interface Waiter {
+export interface ConnectionRequest {
   id: number
   workspace: string
   session: string
   /** 0 goes first. */
   priority: number
-  sinceMs: number
+  requestedAtMs: number
   /** When it has to be refused. */
   deadlineMs: number
 }
@@ -29,12 +29,12 @@
 }
 
 export type PlannedStep =
-  | { type: 'grant', waiter: Waiter, slot: ConnectionSlot }
+  | { type: 'grant', request: ConnectionRequest, slot: ConnectionSlot }
   | { type: 'open', workspace: string }
   | { type: 'close', slot: ConnectionSlot }
 
 /** An idle connection above the kept ones is closed after this long, in milliseconds. */
-export const IDLE_EXCESS_MS = 250
+export const EXCESS_IDLE_TIMEOUT_MS = 250
 
 /**
  * Plans which waiting requests get which connections, and which connections to open or close for them.
@@ -43,40 +43,40 @@
  * where there is none, one is opened, in place of the longest idle connection of another workspace if no
  * more may be open. Requests go by priority, then to the workspace that has fewest connections in use.
  */
-export function planConnections (slots: readonly ConnectionSlot[], waiters: readonly Waiter[], limits: ConnectionLimits, canOpen: boolean, nowMs: number): PlannedStep[] {
+export function planConnections (slots: readonly ConnectionSlot[], requests: readonly ConnectionRequest[], limits: ConnectionLimits, canOpen: boolean, nowMs: number): PlannedStep[] {
   const steps: PlannedStep[] = []
-  const idle = new Set(slots.filter(s => s.state === 'idle'))
-  const opening = countByWorkspace(slots.filter(s => s.state === 'opening'))
-  let open = slots.length
-  for (const waiter of sortWaiters(slots, waiters, nowMs)) {
-    const slot = pickIdle(idle, waiter)
+  const idleSlots = new Set(slots.filter(s => s.state === 'idle'))
+  const openingByWorkspace = countByWorkspace(slots.filter(s => s.state === 'opening'))
+  let openCount = slots.length
+  for (const request of sortRequests(slots, requests, nowMs)) {
+    const slot = pickIdleSlot(idleSlots, request)
     if (slot !== undefined) {
-      idle.delete(slot)
-      steps.push({ type: 'grant', waiter, slot })
+      idleSlots.delete(slot)
+      steps.push({ type: 'grant', request, slot })
       continue
     }
-    const expected = opening.get(waiter.workspace) ?? 0
-    if (expected > 0) {
-      opening.set(waiter.workspace, expected - 1)
+    const connectionsBeingOpened = openingByWorkspace.get(request.workspace) ?? 0
+    if (connectionsBeingOpened > 0) {
+      openingByWorkspace.set(request.workspace, connectionsBeingOpened - 1)
       continue
     }
     if (!canOpen) continue
-    const evicted = open < limits.most ? undefined : pickLongestIdle(idle)
-    if (open >= limits.most && evicted === undefined) continue
+    const evicted = openCount < limits.most ? undefined : pickLeastRecentlyUsed(idleSlots)
+    if (openCount >= limits.most && evicted === undefined) continue
     if (evicted !== undefined) {
-      idle.delete(evicted)
+      idleSlots.delete(evicted)
       steps.push({ type: 'close', slot: evicted })
-      open--
+      openCount--
     }
-    steps.push({ type: 'open', workspace: waiter.workspace })
-    open++
+    steps.push({ type: 'open', workspace: request.workspace })
+    openCount++
   }
-  return [...steps, ...planExcess(idle, open, limits, nowMs)]
+  return [...steps, ...planExcessCloses(idleSlots, openCount, limits, nowMs)]
 }
 
-function planExcess (idle: ReadonlySet<ConnectionSlot>, open: number, limits: ConnectionLimits, nowMs: number): PlannedStep[] {
-  const closable = [...idle].filter(s => nowMs - s.usedAtMs >= IDLE_EXCESS_MS).sort((a, b) => a.usedAtMs - b.usedAtMs)
-  return closable.slice(0, Math.max(0, open - limits.kept)).map(slot => ({ type: 'close', slot }))
+function planExcessCloses (idleSlots: ReadonlySet<ConnectionSlot>, openCount: number, limits: ConnectionLimits, nowMs: number): PlannedStep[] {
+  const closable = [...idleSlots].filter(s => nowMs - s.lastUsedAtMs >= EXCESS_IDLE_TIMEOUT_MS).sort((a, b) => a.lastUsedAtMs - b.lastUsedAtMs)
+  return closable.slice(0, Math.max(0, openCount - limits.kept)).map(slot => ({ type: 'close', slot }))
 }
 
 function countByWorkspace (slots: readonly ConnectionSlot[]): Map<string, number> {
@@ -86,32 +86,32 @@
 }
 
 /** A request that has used half of its waiting time goes one priority earlier, so that none starves. */
-function computePriority (waiter: Waiter, nowMs: number): number {
-  const isHalfWaited = (nowMs - waiter.sinceMs) * 2 >= waiter.deadlineMs - waiter.sinceMs
-  return isHalfWaited ? waiter.priority - 1 : waiter.priority
+function computeEffectivePriority (request: ConnectionRequest, nowMs: number): number {
+  const hasWaitedHalf = (nowMs - request.requestedAtMs) * 2 >= request.deadlineMs - request.requestedAtMs
+  return hasWaitedHalf ? request.priority - 1 : request.priority
 }
 
-function sortWaiters (slots: readonly ConnectionSlot[], waiters: readonly Waiter[], nowMs: number): Waiter[] {
-  if (waiters.length < 2) return [...waiters]
-  const busy = countByWorkspace(slots.filter(s => s.state === 'busy'))
-  const readBusy = (w: Waiter): number => busy.get(w.workspace) ?? 0
-  return [...waiters].sort((a, b) => computePriority(a, nowMs) - computePriority(b, nowMs) || readBusy(a) - readBusy(b) || a.sinceMs - b.sinceMs)
+function sortRequests (slots: readonly ConnectionSlot[], requests: readonly ConnectionRequest[], nowMs: number): ConnectionRequest[] {
+  if (requests.length < 2) return [...requests]
+  const busyByWorkspace = countByWorkspace(slots.filter(s => s.state === 'busy'))
+  const countBusy = (request: ConnectionRequest): number => busyByWorkspace.get(request.workspace) ?? 0
+  return [...requests].sort((a, b) => computeEffectivePriority(a, nowMs) - computeEffectivePriority(b, nowMs) || countBusy(a) - countBusy(b) || a.requestedAtMs - b.requestedAtMs)
 }
 
-function pickIdle (idle: ReadonlySet<ConnectionSlot>, waiter: Waiter): ConnectionSlot | undefined {
-  let best: ConnectionSlot | undefined
-  for (const slot of idle) {
-    if (slot.workspace !== waiter.workspace) continue
-    if (slot.session === waiter.session) return slot
-    if (best === undefined || slot.usedAtMs > best.usedAtMs) best = slot
+function pickIdleSlot (idleSlots: ReadonlySet<ConnectionSlot>, request: ConnectionRequest): ConnectionSlot | undefined {
+  let mostRecentlyUsed: ConnectionSlot | undefined
+  for (const slot of idleSlots) {
+    if (slot.workspace !== request.workspace) continue
+    if (slot.session === request.session) return slot
+    if (mostRecentlyUsed === undefined || slot.lastUsedAtMs > mostRecentlyUsed.lastUsedAtMs) mostRecentlyUsed = slot
   }
-  return best
+  return mostRecentlyUsed
 }
 
-function pickLongestIdle (idle: ReadonlySet<ConnectionSlot>): ConnectionSlot | undefined {
-  let longest: ConnectionSlot | undefined
-  for (const slot of idle) {
-    if (longest === undefined || slot.usedAtMs < longest.usedAtMs) longest = slot
+function pickLeastRecentlyUsed (idleSlots: ReadonlySet<ConnectionSlot>): ConnectionSlot | undefined {
+  let leastRecentlyUsed: ConnectionSlot | undefined
+  for (const slot of idleSlots) {
+    if (leastRecentlyUsed === undefined || slot.lastUsedAtMs < leastRecentlyUsed.lastUsedAtMs) leastRecentlyUsed = slot
   }
-  return longest
+  return leastRecentlyUsed
 }
--- a/packages/gateway/src/pool/connection-share.test.ts
+++ b/packages/gateway/src/pool/connection-share.test.ts
@@ -12,13 +12,13 @@
     const vms = domains.reduce((sum, n) => sum + n, 0)
     it(`keeps what ${vms} VMs hold idle under ${maxConnections}`, () => {
       for (const isPrimary of [true, false]) {
-        let kept = 0
+        let totalRetained = 0
         domains.forEach((count, i) => {
           const share = computeConnectionShare({ maxConnections, vms, localVms: domains[0]!, isLocal: i === 0, isPrimary })
           expect(share.most).to.be.at.least(1)
-          kept += count * share.kept
+          totalRetained += count * share.kept
         })
-        expect(kept).to.be.at.most(maxConnections)
+        expect(totalRetained).to.be.at.most(maxConnections)
       }
     })
   }
--- a/packages/gateway/src/pool/connection-share.ts
+++ b/packages/gateway/src/pool/connection-share.ts
@@ -3,11 +3,11 @@
 /** Connections of an endpoint left for control and for VMs that have just started. */
 const RESERVED_CONNECTIONS = 2
 /** Part of a replica's connections that is for the VMs of its failure domain, which read there. */
-const LOCAL_PART = 0.7
+const LOCAL_FRACTION = 0.7
 /** A share smaller than this is too small to hold connections of several workspaces open while idle. */
-const SMALLEST_KEPT = 4
+const MIN_RETAINED_CONNECTIONS = 4
 /** How far above its share a VM may go while others do not use theirs. */
-const MOST_OVER_KEPT = 2.5
+const MAX_OPEN_FACTOR = 2.5
 
 export interface ConnectionShareOptions {
   /** Connections that the endpoint accepts from all VMs together. */
@@ -29,13 +29,13 @@
  */
 export function computeConnectionShare (options: ConnectionShareOptions): ConnectionLimits {
   const { maxConnections, vms, localVms, isLocal, isPrimary } = options
-  const shared = Math.max(1, maxConnections - RESERVED_CONNECTIONS)
-  const share = Math.max(1, Math.floor(computeShare(shared, { vms, localVms, isLocal, isPrimary })))
-  const kept = share < SMALLEST_KEPT ? 0 : share
-  return { kept, most: Math.min(shared, Math.max(share + 2, Math.floor(share * MOST_OVER_KEPT))) }
+  const sharedConnections = Math.max(1, maxConnections - RESERVED_CONNECTIONS)
+  const share = Math.max(1, Math.floor(computeShare(sharedConnections, { vms, localVms, isLocal, isPrimary })))
+  const retained = share < MIN_RETAINED_CONNECTIONS ? 0 : share
+  return { kept: retained, most: Math.min(sharedConnections, Math.max(share + 2, Math.floor(share * MAX_OPEN_FACTOR))) }
 }
 
-function computeShare (shared: number, { vms, localVms, isLocal, isPrimary }: Omit<ConnectionShareOptions, 'maxConnections'>): number {
-  if (isPrimary || localVms === 0 || localVms >= vms) return shared / Math.max(1, vms)
-  return isLocal ? shared * LOCAL_PART / localVms : shared * (1 - LOCAL_PART) / (vms - localVms)
+function computeShare (sharedConnections: number, { vms, localVms, isLocal, isPrimary }: Omit<ConnectionShareOptions, 'maxConnections'>): number {
+  if (isPrimary || localVms === 0 || localVms >= vms) return sharedConnections / Math.max(1, vms)
+  return isLocal ? sharedConnections * LOCAL_FRACTION / localVms : sharedConnections * (1 - LOCAL_FRACTION) / (vms - localVms)
 }
--- a/packages/gateway/src/pool/endpoint-pool.ts
+++ b/packages/gateway/src/pool/endpoint-pool.ts
@@ -2,7 +2,7 @@
 import type { EndpointConnector } from '../backend/endpoint-connector.ts'
 import { ConnectionLostError, EndpointRefusedError } from '../backend/errors.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { IDLE_EXCESS_MS, planConnections, type ConnectionLimits, type ConnectionSlot, type PlannedStep, type Waiter } from './connection-plan.ts'
+import { EXCESS_IDLE_TIMEOUT_MS, planConnections, type ConnectionLimits, type ConnectionSlot, type PlannedStep, type ConnectionRequest } from './connection-plan.ts'
 import { createHealth, recordConnected, recordRefused, recordSent, recordUnanswered, type EndpointHealth } from './endpoint-health.ts'
 import { PoolError, type PoolRefusal } from './errors.ts'
 import { PooledConnection } from './pooled-connection.ts'
@@ -10,9 +10,9 @@
 /** Time for a connection attempt, in milliseconds; a new connection takes some tens of them across regions. */
 const CONNECT_TIMEOUT_MS = 900
 /** After an endpoint refused a connection as one too many, in milliseconds. */
-const TOO_MANY_PAUSE_MS = 30
+const CONNECTION_LIMIT_BACKOFF_MS = 30
 /** After a connection attempt that failed, in milliseconds. */
-const FAILED_PAUSE_MS = 200
+const CONNECT_FAILURE_BACKOFF_MS = 200
 
 export interface AcquireOptions {
   workspace: string
@@ -21,12 +21,12 @@
   /** Longest wait, in milliseconds. */
   waitMs: number
   /** Whether another endpoint may run it, so that it need not wait for one that has no connection left. */
-  canGoElsewhere?: boolean
+  canUseOtherEndpoint?: boolean
 }
 
 interface PendingAcquire {
-  waiter: Waiter
-  canGoElsewhere: boolean
+  request: ConnectionRequest
+  canUseOtherEndpoint: boolean
   timer: NodeJS.Timeout
   resolve: (connection: PooledConnection) => void
   reject: (error: Error) => void
@@ -41,7 +41,7 @@
   recordOpened: () => void
 }
 
-interface HeldSlot extends ConnectionSlot { connection: PooledConnection | null }
+interface PoolSlot extends ConnectionSlot { connection: PooledConnection | null }
 
 /** This VM's connections to one endpoint, and who waits for them. */
 export class EndpointPool {
@@ -52,10 +52,10 @@
   /** Since when it is known to drain; `null` while it does not. */
   drainingSinceMs: number | null = null
   readonly #options: EndpointPoolOptions
-  readonly #slots = new Map<number, HeldSlot>()
-  readonly #waiting = new Map<number, PendingAcquire>()
+  readonly #slots = new Map<number, PoolSlot>()
+  readonly #pendingRequests = new Map<number, PendingAcquire>()
   #lastId = 0
-  #mayOpenAtMs = -Infinity
+  #nextOpenAllowedAtMs = -Infinity
   #isStopped = false
 
   constructor (options: EndpointPoolOptions) {
@@ -75,8 +75,8 @@
     return this.drainingSinceMs === null ? 0 : nowMs - this.drainingSinceMs
   }
 
-  get waiting (): number {
-    return this.#waiting.size
+  get pendingRequestCount (): number {
+    return this.#pendingRequests.size
   }
 
   countBusy (): number {
@@ -86,19 +86,19 @@
   }
 
   /** Whether a request of the workspace would find an idle connection. */
-  hasIdle (workspace: string): boolean {
-    for (const s of this.#slots.values()) if (s.state === 'idle' && s.workspace === workspace) return true
+  hasIdleConnection (workspace: string): boolean {
+    for (const slot of this.#slots.values()) if (slot.state === 'idle' && slot.workspace === workspace) return true
     return false
   }
 
   /** @throws PoolError when no connection is to be had in time */
-  async acquire ({ workspace, session, priority, waitMs, canGoElsewhere = false }: AcquireOptions): Promise<PooledConnection> {
+  async acquire ({ workspace, session, priority, waitMs, canUseOtherEndpoint = false }: AcquireOptions): Promise<PooledConnection> {
     if (this.#isStopped) throw new PoolError('endpoint is gone', { props: { refusal: 'gone' } })
     const nowMs = this.#options.clock.readNow()
     return await new Promise((resolve, reject) => {
       const id = ++this.#lastId
-      const timer = setTimeout(() => this.#refuse(id, 'busy', 'no connection became free in time'), waitMs)
-      this.#waiting.set(id, { waiter: { id, workspace, session, priority, sinceMs: nowMs, deadlineMs: nowMs + waitMs }, canGoElsewhere, timer, resolve, reject })
+      const timer = setTimeout(() => this.#rejectRequest(id, 'busy', 'no connection became free in time'), waitMs)
+      this.#pendingRequests.set(id, { request: { id, workspace, session, priority, requestedAtMs: nowMs, deadlineMs: nowMs + waitMs }, canUseOtherEndpoint, timer, resolve, reject })
       this.runPlan()
     })
   }
@@ -110,24 +110,24 @@
     if (!isReusable || this.#isStopped || !connection.connection.isOpen) return this.#closeSlot(slot)
     slot.state = 'idle'
     slot.session = connection.session
-    slot.usedAtMs = this.#options.clock.readNow()
+    slot.lastUsedAtMs = this.#options.clock.readNow()
     this.runPlan()
-    this.#schedulePlan(IDLE_EXCESS_MS)
+    this.#schedulePlan(EXCESS_IDLE_TIMEOUT_MS)
   }
 
   /** Grants, opens and closes what the plan says; called on every change and from time to time. */
   runPlan (): void {
     const { clock, readLimits } = this.#options
     const nowMs = clock.readNow()
-    const waiters = [...this.#waiting.values()].map(w => w.waiter)
-    const canOpen = nowMs >= this.#mayOpenAtMs && !this.#isStopped
-    for (const step of planConnections([...this.#slots.values()], waiters, readLimits(this.entry), canOpen, nowMs)) this.#runStep(step)
+    const requests = [...this.#pendingRequests.values()].map(pending => pending.request)
+    const canOpen = nowMs >= this.#nextOpenAllowedAtMs && !this.#isStopped
+    for (const step of planConnections([...this.#slots.values()], requests, readLimits(this.entry), canOpen, nowMs)) this.#runStep(step)
   }
 
   /** Takes no further requests; idle connections end now, others when they are released. */
   stop (): void {
     this.#isStopped = true
-    for (const id of [...this.#waiting.keys()]) this.#refuse(id, 'gone', 'endpoint is gone')
+    for (const id of [...this.#pendingRequests.keys()]) this.#rejectRequest(id, 'gone', 'endpoint is gone')
     for (const slot of [...this.#slots.values()]) if (slot.state === 'idle') this.#closeSlot(slot)
   }
 
@@ -136,19 +136,19 @@
     const slot = this.#slots.get(step.slot.id)
     if (slot === undefined) return
     if (step.type === 'close') return this.#closeSlot(slot)
-    const pending = this.#waiting.get(step.waiter.id)
+    const pending = this.#pendingRequests.get(step.request.id)
     if (pending === undefined || slot.connection === null) return
-    this.#waiting.delete(step.waiter.id)
+    this.#pendingRequests.delete(step.request.id)
     clearTimeout(pending.timer)
     slot.state = 'busy'
-    slot.session = step.waiter.session
+    slot.session = step.request.session
     pending.resolve(slot.connection)
   }
 
   #openConnection (workspace: string): void {
     const { connector, clock, recordOpened } = this.#options
     const { endpoint, service, address } = this.entry
-    const slot: HeldSlot = { id: ++this.#lastId, workspace, session: null, state: 'opening', usedAtMs: clock.readNow(), connection: null }
+    const slot: PoolSlot = { id: ++this.#lastId, workspace, session: null, state: 'opening', lastUsedAtMs: clock.readNow(), connection: null }
     this.#slots.set(slot.id, slot)
     const sentAtMs = clock.readNow()
     recordSent(this.health, sentAtMs)
@@ -157,61 +157,61 @@
       recordConnected(this.health, clock.readNow())
       slot.connection = new PooledConnection(slot.id, endpoint, connection)
       slot.state = 'idle'
-      slot.usedAtMs = clock.readNow()
+      slot.lastUsedAtMs = clock.readNow()
       connection.subscribeClose(() => this.#handleClosed(slot.id))
       if (this.#isStopped) this.#closeSlot(slot)
       else this.runPlan()
     }, (error: unknown) => this.#handleOpenFailure(slot, error, sentAtMs))
   }
 
-  #handleOpenFailure (slot: HeldSlot, error: unknown, sentAtMs: number): void {
+  #handleOpenFailure (slot: PoolSlot, error: unknown, sentAtMs: number): void {
     const { clock, logger } = this.#options
     const nowMs = clock.readNow()
     this.#slots.delete(slot.id)
     const reason = describeError(error)
     logger.info('endpoint connection failed', { endpoint: this.entry.endpoint, workspace: slot.workspace, reason, afterMs: Math.round(nowMs - sentAtMs) })
-    if (error instanceof EndpointRefusedError) return this.#handleRefusal(error.code, nowMs)
+    if (error instanceof EndpointRefusedError) return this.#handleConnectionRefused(error.code, nowMs)
     recordUnanswered(this.health, nowMs)
     if (error instanceof ConnectionLostError && error.isRefused) recordRefused(this.health, nowMs)
-    this.#mayOpenAtMs = nowMs + FAILED_PAUSE_MS
-    this.#schedulePlan(FAILED_PAUSE_MS)
-    if (this.#slots.size === 0) this.#refuseAll('unreachable', reason)
+    this.#nextOpenAllowedAtMs = nowMs + CONNECT_FAILURE_BACKOFF_MS
+    this.#schedulePlan(CONNECT_FAILURE_BACKOFF_MS)
+    if (this.#slots.size === 0) this.#rejectAllRequests('unreachable', reason)
   }
 
-  #handleRefusal (code: string, nowMs: number): void {
+  #handleConnectionRefused (code: string, nowMs: number): void {
     recordConnected(this.health, nowMs)
     if (code === 'misrouted') {
-      this.#mayOpenAtMs = nowMs + CONNECT_TIMEOUT_MS
-      return this.#refuseAll('unreachable', 'another service answers at the address')
+      this.#nextOpenAllowedAtMs = nowMs + CONNECT_TIMEOUT_MS
+      return this.#rejectAllRequests('unreachable', 'another service answers at the address')
     }
-    for (const [id, { canGoElsewhere }] of [...this.#waiting]) if (canGoElsewhere) this.#refuse(id, 'busy', 'the endpoint accepts no more connections')
-    this.#mayOpenAtMs = nowMs + TOO_MANY_PAUSE_MS
-    this.#schedulePlan(TOO_MANY_PAUSE_MS)
+    for (const [id, { canUseOtherEndpoint }] of [...this.#pendingRequests]) if (canUseOtherEndpoint) this.#rejectRequest(id, 'busy', 'the endpoint accepts no more connections')
+    this.#nextOpenAllowedAtMs = nowMs + CONNECTION_LIMIT_BACKOFF_MS
+    this.#schedulePlan(CONNECTION_LIMIT_BACKOFF_MS)
   }
 
   #schedulePlan (afterMs: number): void {
     setTimeout(() => this.runPlan(), afterMs + 1).unref()
   }
 
-  #refuseAll (refusal: PoolRefusal, reason: string): void {
-    for (const id of [...this.#waiting.keys()]) this.#refuse(id, refusal, reason)
+  #rejectAllRequests (refusal: PoolRefusal, reason: string): void {
+    for (const id of [...this.#pendingRequests.keys()]) this.#rejectRequest(id, refusal, reason)
   }
 
-  #refuse (id: number, refusal: PoolRefusal, reason: string): void {
-    const pending = this.#waiting.get(id)
+  #rejectRequest (id: number, refusal: PoolRefusal, reason: string): void {
+    const pending = this.#pendingRequests.get(id)
     if (pending === undefined) return
-    this.#waiting.delete(id)
+    this.#pendingRequests.delete(id)
     clearTimeout(pending.timer)
     pending.reject(new PoolError(reason, { props: { refusal } }))
   }
 
-  #closeSlot (slot: HeldSlot): void {
+  #closeSlot (slot: PoolSlot): void {
     this.#slots.delete(slot.id)
     slot.connection?.connection.close()
-    if (!this.#isStopped && this.#waiting.size > 0) this.runPlan()
+    if (!this.#isStopped && this.#pendingRequests.size > 0) this.runPlan()
   }
 
   #handleClosed (id: number): void {
-    if (this.#slots.delete(id) && this.#waiting.size > 0) this.runPlan()
+    if (this.#slots.delete(id) && this.#pendingRequests.size > 0) this.runPlan()
   }
 }
--- a/packages/gateway/src/pool/pooled-connection.ts
+++ b/packages/gateway/src/pool/pooled-connection.ts
@@ -5,10 +5,10 @@
 export interface PreparedStatement { mode: StatementMode, shape: string }
 
 /** What a client session expects of the connection that runs its statements. */
-export interface SessionContents {
+export interface RequiredSessionState {
   session: string
-  values: ReadonlyMap<string, string>
-  prepared: ReadonlyMap<string, PreparedStatement>
+  sessionValues: ReadonlyMap<string, string>
+  preparedStatements: ReadonlyMap<string, PreparedStatement>
 }
 
 /** A connection of the pool, with what it holds of a client's session. */
@@ -16,9 +16,9 @@
   readonly id: number
   readonly endpoint: string
   readonly connection: EndpointConnection
-  #session: string | null = null
-  readonly #values = new Map<string, string>()
-  readonly #prepared = new Map<string, PreparedStatement>()
+  #heldSession: string | null = null
+  readonly #heldValues = new Map<string, string>()
+  readonly #heldPrepared = new Map<string, PreparedStatement>()
 
   constructor (id: number, endpoint: string, connection: EndpointConnection) {
     this.id = id
@@ -27,7 +27,7 @@
   }
 
   get session (): string | null {
-    return this.#session
+    return this.#heldSession
   }
 
   /**
@@ -36,34 +36,34 @@
    *
    * @returns the answers still to come; without one the connection is lost, which the statement after them shows
    */
-  restoreSession (contents: SessionContents, preparedName: string | null): Array<Promise<EndpointAnswer>> {
-    const sent: Array<Promise<EndpointAnswer>> = []
-    if (this.#session !== contents.session) {
-      if (this.#values.size > 0 || this.#prepared.size > 0) sent.push(this.connection.discard())
-      this.#values.clear()
-      this.#prepared.clear()
-      this.#session = contents.session
+  restoreSession (required: RequiredSessionState, preparedName: string | null): Array<Promise<EndpointAnswer>> {
+    const responses: Array<Promise<EndpointAnswer>> = []
+    if (this.#heldSession !== required.session) {
+      if (this.#heldValues.size > 0 || this.#heldPrepared.size > 0) responses.push(this.connection.discard())
+      this.#heldValues.clear()
+      this.#heldPrepared.clear()
+      this.#heldSession = required.session
     }
-    for (const [name, value] of contents.values) {
-      if (this.#values.get(name) === value) continue
-      sent.push(this.connection.setValue(name, value))
-      this.#values.set(name, value)
+    for (const [name, value] of required.sessionValues) {
+      if (this.#heldValues.get(name) === value) continue
+      responses.push(this.connection.setValue(name, value))
+      this.#heldValues.set(name, value)
     }
-    if (preparedName !== null) this.#restorePrepared(contents, preparedName, sent)
-    for (const answer of sent) answer.catch(() => {}) // Reported with the statement that follows.
-    return sent
+    if (preparedName !== null) this.#restorePrepared(required, preparedName, responses)
+    for (const response of responses) response.catch(() => {}) // Reported with the statement that follows.
+    return responses
   }
 
   async run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointAnswer> {
     return await this.connection.run(id, text, atLeast)
   }
 
-  #restorePrepared (contents: SessionContents, name: string, sent: Array<Promise<EndpointAnswer>>): void {
-    const wanted = contents.prepared.get(name)
-    const held = this.#prepared.get(name)
-    if (wanted === undefined || (held?.mode === wanted.mode && held.shape === wanted.shape)) return
-    if (held !== undefined) sent.push(this.connection.closeStatement(name))
-    sent.push(this.connection.prepare(name, wanted.mode, wanted.shape))
-    this.#prepared.set(name, wanted)
+  #restorePrepared (required: RequiredSessionState, name: string, responses: Array<Promise<EndpointAnswer>>): void {
+    const requiredStatement = required.preparedStatements.get(name)
+    const heldStatement = this.#heldPrepared.get(name)
+    if (requiredStatement === undefined || (heldStatement?.mode === requiredStatement.mode && heldStatement.shape === requiredStatement.shape)) return
+    if (heldStatement !== undefined) responses.push(this.connection.closeStatement(name))
+    responses.push(this.connection.prepare(name, requiredStatement.mode, requiredStatement.shape))
+    this.#heldPrepared.set(name, requiredStatement)
   }
 }
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -135,7 +135,7 @@
           atLeast,
           position: answer.position,
           inFlight: health.inFlight,
-          averageMs: Math.round(health.answerMs ?? 0),
+          averageMs: Math.round(health.averageResponseMs ?? 0),
           tookMs: Math.round(clock.readNow() - operation.receivedAtMs),
           outcome: answer.error?.code ?? 'answered'
         })
--- a/packages/gateway/src/statements/operation.ts
+++ b/packages/gateway/src/statements/operation.ts
@@ -2,12 +2,12 @@
 import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
 import type { AnswerError, ClientStatement } from '../backend/statement.ts'
 import type { Route } from '../configuration/configuration.ts'
-import type { SessionContents } from '../pool/pooled-connection.ts'
+import type { RequiredSessionState } from '../pool/pooled-connection.ts'
 
 /** A statement to run on an endpoint, for whom and by when. */
 export interface Operation {
   statement: ClientStatement
-  contents: SessionContents
+  contents: RequiredSessionState
   /** Prepared statement that it executes. */
   preparedName: string | null
   workspace: string
--- a/packages/gateway/src/statements/read-targets.test.ts
+++ b/packages/gateway/src/statements/read-targets.test.ts
@@ -18,7 +18,7 @@
 
 const operation: Operation = {
   statement: { id: '1', text: 'READ 1', type: 'read' },
-  contents: { session: 'x', values: new Map(), prepared: new Map() },
+  contents: { session: 'x', sessionValues: new Map(), preparedStatements: new Map() },
   preparedName: null,
   workspace: 'lab',
   route: { name: 'r', database: 'd', service: 's', consistency: 'boundedStaleness', statementTimeoutMs: 1_000, objectiveMs: 400, priority: 1, maxStalenessMs: 1_500, isPublic: false },
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -57,9 +57,9 @@
     isDraining: entry.isDraining,
     distance: measureDistance(location, entry.failureDomain),
     slots: entry.slots,
-    load: pool.countBusy() + pool.waiting,
-    answerMs: health.answerMs,
-    hasIdle: pool.hasIdle(workspace),
+    load: pool.countBusy() + pool.pendingRequestCount,
+    answerMs: health.averageResponseMs,
+    hasIdle: pool.hasIdleConnection(workspace),
     isAvoided: isAvoided(health, nowMs),
     isWarmingUp: entry.warmupLeftMs > 0,
     isLagging: nowMs < pool.laggingUntilMs
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -2,7 +2,7 @@
 import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
 import type { ErrorCode } from '../backend/statement.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
-import { recordAvoided } from '../pool/endpoint-health.ts'
+import { recordBusy } from '../pool/endpoint-health.ts'
 import { PoolError } from '../pool/errors.ts'
 import type { PooledConnection } from '../pool/pooled-connection.ts'
 import { isPrimaryFresh } from '../freshness/group-state.ts'
@@ -98,7 +98,7 @@
 }
 
 function computeHedgeMs ({ pool }: ReadTarget): number {
-  return Math.min(LONGEST_HEDGE_MS, Math.max(SHORTEST_HEDGE_MS, HEDGE_FACTOR * (pool.health.answerMs ?? 0)))
+  return Math.min(LONGEST_HEDGE_MS, Math.max(SHORTEST_HEDGE_MS, HEDGE_FACTOR * (pool.health.averageResponseMs ?? 0)))
 }
 
 /** Waits for one of the attempts to end. @returns `undefined` when none did in time */
@@ -119,7 +119,7 @@
   const { workspace, contents, route, statement, preparedName } = operation
   let connection: PooledConnection
   try {
-    connection = await pool.acquire({ workspace, session: contents.session, priority: route.priority, waitMs, canGoElsewhere: pool !== group.primaryPool })
+    connection = await pool.acquire({ workspace, session: contents.session, priority: route.priority, waitMs, canUseOtherEndpoint: pool !== group.primaryPool })
   } catch (error) {
     if (!(error instanceof PoolError)) throw error
     return { kind: 'notRun', reason: error.message, code: 'busy' }
@@ -130,7 +130,7 @@
     await Promise.all(restored)
     pool.release(connection, answer.state === 'idle')
     if (answer.error?.code === 'lagging') pool.laggingUntilMs = clock.readNow() + LAGGING_AVOID_MS
-    if (answer.error?.code === 'busy') recordAvoided(pool.health, BUSY_AVOID_MS, clock.readNow())
+    if (answer.error?.code === 'busy') recordBusy(pool.health, BUSY_AVOID_MS, clock.readNow())
     context.logAttempt(operation, pool, atLeast, answer)
     return { kind: 'answered', answer, endpoint: pool.entry.endpoint }
   } catch (error) {
