--- a/packages/gateway/src/pool/connection-plan.test.ts
+++ b/packages/gateway/src/pool/connection-plan.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('connection plan', () => {
-  it('grants an idle connection of the session, else of the workspace', () => {
+  it('prefers an idle connection that the session used before to another one of the workspace', () => {
     const slots = [createSlot(1, 'lab', { session: 'x' }), createSlot(2, 'lab', { session: 's9' })]
     const [step] = planConnections(slots, [createRequest(9, 'lab')], connectionLimits, true, 10)
     expect(step).to.deep.include({ type: 'grant', slot: slots[1] })
@@ -24,27 +24,27 @@
     expect(steps).to.deep.equal([{ type: 'open', workspace: 'lab' }])
   })
 
-  it('opens in place of the longest idle one when no more may be open', () => {
+  it('closes the least recently used idle connection before it opens one at the connection limit', () => {
     const slots = [createSlot(1, 'shop', { lastUsedAtMs: 5 }), createSlot(2, 'shop', { lastUsedAtMs: 1 }), createSlot(3, 'shop', { state: 'busy' })]
     const steps = planConnections(slots, [createRequest(9, 'lab')], connectionLimits, true, 10)
     expect(steps).to.deep.equal([{ type: 'close', slot: slots[1] }, { type: 'open', workspace: 'lab' }])
   })
 
-  it('opens no second connection for a request that one is being opened for', () => {
+  it('opens no second connection for a request while one is being opened for it', () => {
     expect(planConnections([createSlot(1, 'lab', { state: 'opening' })], [createRequest(9, 'lab')], connectionLimits, true, 10)).to.deep.equal([])
   })
 
-  it('opens nothing after the endpoint refused', () => {
+  it('opens no connection during the backoff after a failed attempt', () => {
     expect(planConnections([], [createRequest(9, 'lab')], connectionLimits, false, 10)).to.deep.equal([])
   })
 
-  it('closes what has been idle above the kept ones', () => {
+  it('closes excess connections once they have been idle for long enough', () => {
     const slots = [1, 2, 3].map(id => createSlot(id, 'lab', { lastUsedAtMs: id }))
     expect(planConnections(slots, [], connectionLimits, true, EXCESS_IDLE_TIMEOUT_MS + 5)).to.deep.equal([{ type: 'close', slot: slots[0] }])
     expect(planConnections(slots, [], connectionLimits, true, 5)).to.deep.equal([])
   })
 
-  it('serves by priority, and does not starve a request that has waited for half of its time', () => {
+  it('serves requests by priority, but raises a request that has waited for half of its time', () => {
     const slot = createSlot(1, 'lab')
     const fresh = createRequest(1, 'lab', { priority: 1, requestedAtMs: 100, deadlineMs: 300 })
     const longWaiting = createRequest(2, 'lab', { priority: 2, requestedAtMs: 0, deadlineMs: 200 })
@@ -54,8 +54,9 @@
   })
 })
 
-/** Load: one workspace asks ten times as often as the others; each request holds a connection for a while. */
-describe('connections under a workspace that asks for far more than the others', () => {
+// Guards against a busy workspace that takes the connections of the others: one workspace sends ten times as many
+// requests as each other one, and each request holds its connection for 60 ms.
+describe('connection plan while one workspace sends far more requests than the others', () => {
   const findLoadClass = (workspace: string): 'hot' | 'others' => workspace === 'hot' ? 'hot' : 'others'
 
   function simulateLoad (isFair: boolean): { hot: number, others: number } {
@@ -89,7 +90,7 @@
     return { hot: served.hot / requested.hot, others: served.others / requested.others }
   }
 
-  it('serves the others nearly in full, which first come, first served does not', () => {
+  it('rejects less than a quarter as many requests of the other workspaces as first come, first served does', () => {
     const fair = simulateLoad(true)
     const firstComeFirstServed = simulateLoad(false)
     expect(fair.others).to.be.greaterThan(fair.hot)
--- a/packages/gateway/src/pool/connection-plan.ts
+++ b/packages/gateway/src/pool/connection-plan.ts
@@ -1,30 +1,30 @@
-/** A connection to one endpoint, as the plan sees it. */
+/** State of one connection to an endpoint, as far as planning needs it. */
 export interface ConnectionSlot {
   id: number
   workspace: string
-  /** Client session whose values and prepared statements it holds; `null` for none. */
+  /** Client session whose values and prepared statements the connection holds; `null` when it holds none. */
   session: string | null
   state: 'opening' | 'idle' | 'busy'
-  /** When it was last used or opened. */
+  /** Time of the last use, or of opening when the connection has not been used yet. */
   lastUsedAtMs: number
 }
 
-/** A request for a connection. */
+/** A pending request for a connection. */
 export interface ConnectionRequest {
   id: number
   workspace: string
   session: string
-  /** 0 goes first. */
+  /** 0 is served first. */
   priority: number
   requestedAtMs: number
-  /** When it has to be refused. */
+  /** Time at which the request is rejected if it has no connection yet. */
   deadlineMs: number
 }
 
 export interface ConnectionLimits {
-  /** Connections kept open while idle. */
+  /** Idle connections are closed only while more than this many connections are open. */
   kept: number
-  /** Connections open at most. */
+  /** Maximum number of open connections, including those being opened. */
   most: number
 }
 
@@ -33,15 +33,19 @@
   | { type: 'open', workspace: string }
   | { type: 'close', slot: ConnectionSlot }
 
-/** An idle connection above the kept ones is closed after this long, in milliseconds. */
+/** Idle time after which a connection is closed while more than `ConnectionLimits.kept` are open, in milliseconds. */
 export const EXCESS_IDLE_TIMEOUT_MS = 250
 
 /**
- * Plans which waiting requests get which connections, and which connections to open or close for them.
+ * Plans which pending requests get which connections, and which connections to open or close.
  *
- * Connections belong to a workspace. A request takes an idle one of its session or else of its workspace;
- * where there is none, one is opened, in place of the longest idle connection of another workspace if no
- * more may be open. Requests go by priority, then to the workspace that has fewest connections in use.
+ * A connection serves one workspace only. A request gets an idle connection that its session used before, or else
+ * the most recently used idle connection of its workspace. When there is none, a connection is opened. At the
+ * connection limit, the least recently used idle connection is closed first to make room. Requests are ordered by
+ * priority, then by how few connections their workspace has in use, then by the time of the request.
+ *
+ * @param canOpen whether connections may be opened now; `false` during the backoff after a failed attempt
+ * @returns the steps in the order in which they must be carried out
  */
 export function planConnections (slots: readonly ConnectionSlot[], requests: readonly ConnectionRequest[], limits: ConnectionLimits, canOpen: boolean, nowMs: number): PlannedStep[] {
   const steps: PlannedStep[] = []
@@ -85,7 +89,7 @@
   return counts
 }
 
-/** A request that has used half of its waiting time goes one priority earlier, so that none starves. */
+/** Raises a request by one priority once half of its waiting time has passed, so that low priorities do not starve. */
 function computeEffectivePriority (request: ConnectionRequest, nowMs: number): number {
   const hasWaitedHalf = (nowMs - request.requestedAtMs) * 2 >= request.deadlineMs - request.requestedAtMs
   return hasWaitedHalf ? request.priority - 1 : request.priority
--- a/packages/gateway/src/pool/connection-share.test.ts
+++ b/packages/gateway/src/pool/connection-share.test.ts
@@ -10,7 +10,7 @@
   ]
   for (const { maxConnections, domains } of cases) {
     const vms = domains.reduce((sum, n) => sum + n, 0)
-    it(`keeps what ${vms} VMs hold idle under ${maxConnections}`, () => {
+    it(`keeps the idle connections of ${vms} VMs within the endpoint's limit of ${maxConnections}`, () => {
       for (const isPrimary of [true, false]) {
         let totalRetained = 0
         domains.forEach((count, i) => {
@@ -23,7 +23,7 @@
     })
   }
 
-  it('gives a VM alone nearly all', () => {
+  it('gives a single VM all connections but the reserved ones', () => {
     expect(computeConnectionShare({ maxConnections: 21, vms: 1, localVms: 1, isLocal: true, isPrimary: true })).to.deep.equal({ kept: 19, most: 19 })
   })
 })
--- a/packages/gateway/src/pool/connection-share.ts
+++ b/packages/gateway/src/pool/connection-share.ts
@@ -1,29 +1,32 @@
 import type { ConnectionLimits } from './connection-plan.ts'
 
-/** Connections of an endpoint left for control and for VMs that have just started. */
+/** Connections of an endpoint that stay free for control connections and for VMs that have just started. */
 const RESERVED_CONNECTIONS = 2
-/** Part of a replica's connections that is for the VMs of its failure domain, which read there. */
+/** Fraction of a replica's connections for the VMs of its failure domain, because these VMs read from it. */
 const LOCAL_FRACTION = 0.7
-/** A share smaller than this is too small to hold connections of several workspaces open while idle. */
+/** A VM with a smaller share retains no idle connections: its share is too small for those of several workspaces. */
 const MIN_RETAINED_CONNECTIONS = 4
-/** How far above its share a VM may go while others do not use theirs. */
+/** A VM may open up to this multiple of its share while other VMs do not use theirs. */
 const MAX_OPEN_FACTOR = 2.5
 
 export interface ConnectionShareOptions {
-  /** Connections that the endpoint accepts from all VMs together. */
+  /** Maximum number of connections that the endpoint accepts from all VMs together. */
   maxConnections: number
-  /** VMs of the fleet. */
+  /** Number of VMs in the fleet. */
   vms: number
-  /** VMs in the endpoint's failure domain. */
+  /** Number of VMs in the endpoint's failure domain. */
   localVms: number
-  /** Whether this VM is one of them. */
+  /** Whether this VM is in the endpoint's failure domain. */
   isLocal: boolean
+  /** Whether the endpoint is the primary, whose connections all VMs share equally. */
   isPrimary: boolean
 }
 
 /**
- * How many of an endpoint's connections this VM takes. The shares of all VMs stay under the endpoint's
- * limit; above its share a VM goes only for a moment, and the endpoint refuses what is too much.
+ * Computes how many connections to an endpoint this VM may open.
+ *
+ * The retained connections of all VMs together stay within the endpoint's limit. A VM exceeds its share only briefly;
+ * the endpoint refuses connections above its limit.
  *
  * @example computeConnectionShare({ maxConnections: 21, vms: 8, localVms: 3, isLocal: true, isPrimary: false }) // { kept: 4, most: 10 }
  */
--- a/packages/gateway/src/pool/endpoint-health.ts
+++ b/packages/gateway/src/pool/endpoint-health.ts
@@ -1,22 +1,23 @@
-/** Weight of a new answer in the average time of answers. */
+/** Weight of the latest response time in the moving average. */
 const NEW_RESPONSE_WEIGHT = 0.15
-/** An endpoint that left an answer or connection attempt out for this long counts as silent, in milliseconds. */
+/** An endpoint is unresponsive once a statement or connection attempt has had no response for this long, in milliseconds. */
 export const SILENT_AFTER_MS = 700
-/** After a failure other endpoints are preferred for this long, in milliseconds. */
+/** Time for which other endpoints are preferred after a failure, in milliseconds. */
 const AVOID_AFTER_FAILURE_MS = 1_000
 
-/** How one endpoint has answered this VM. */
+/** How one endpoint has responded to this VM. Times are readings of the caller's clock, in milliseconds. */
 export interface EndpointHealth {
+  /** Time of the last response; `-Infinity` before the first. */
   heardAtMs: number
-  /** When the first message was sent that nothing has followed from the endpoint; `null` for none. */
+  /** Since when a response has been pending without any contact from the endpoint; `null` when none is pending. */
   unansweredSinceMs: number | null
-  /** Statements sent and not yet answered. */
+  /** Statements and connection attempts whose response is pending. */
   inFlight: number
-  /** Average time to an answer, in milliseconds; `null` before the first. */
+  /** Moving average of the response time to statements, in milliseconds; `null` before the first response. */
   averageResponseMs: number | null
-  /** Since when it refuses connections; `null` while it does not. */
+  /** Since when connection attempts are refused at its address; `null` while they are not. */
   refusedSinceMs: number | null
-  /** Other endpoints are preferred until then. */
+  /** Time until which other endpoints are preferred. */
   avoidUntilMs: number
 }
 
@@ -24,12 +25,13 @@
   return { heardAtMs: -Infinity, unansweredSinceMs: null, inFlight: 0, averageResponseMs: null, refusedSinceMs: null, avoidUntilMs: -Infinity }
 }
 
+/** Records that a statement was sent or a connection attempt began. */
 export function recordSent (health: EndpointHealth, nowMs: number): void {
   health.inFlight++
   health.unansweredSinceMs ??= nowMs
 }
 
-/** Takes in an answer; `sentAtMs` is when its statement was sent. */
+/** Records the response to a statement that was sent at `sentAtMs`. */
 export function recordAnswered (health: EndpointHealth, sentAtMs: number, nowMs: number): void {
   health.inFlight--
   recordContact(health, nowMs)
@@ -37,34 +39,37 @@
   health.averageResponseMs = health.averageResponseMs === null ? responseMs : health.averageResponseMs + NEW_RESPONSE_WEIGHT * (responseMs - health.averageResponseMs)
 }
 
-/** Takes in a new connection, which says nothing of how long statements take. */
+/** Records the response to a connection attempt. It does not count towards the response time of statements. */
 export function recordConnected (health: EndpointHealth, nowMs: number): void {
   health.inFlight--
   recordContact(health, nowMs)
 }
 
+/** Records any message from the endpoint, which shows that it is reachable. */
 export function recordContact (health: EndpointHealth, nowMs: number): void {
   health.heardAtMs = nowMs
   health.unansweredSinceMs = health.inFlight > 0 ? nowMs : null
   health.refusedSinceMs = null
 }
 
-/** Takes in that a statement or connection attempt ended without an answer. */
+/** Records that a statement or connection attempt ended without a response. */
 export function recordUnanswered (health: EndpointHealth, nowMs: number): void {
   health.inFlight--
   health.avoidUntilMs = nowMs + AVOID_AFTER_FAILURE_MS
 }
 
+/** Records that a connection attempt was refused at the endpoint's address. */
 export function recordRefused (health: EndpointHealth, nowMs: number): void {
   health.refusedSinceMs ??= nowMs
   health.avoidUntilMs = nowMs + AVOID_AFTER_FAILURE_MS
 }
 
-/** Prefers other endpoints for a while, as after an answer that it is too busy. */
+/** Records that the endpoint was too busy: other endpoints are preferred for `avoidForMs`. */
 export function recordBusy (health: EndpointHealth, avoidForMs: number, nowMs: number): void {
   health.avoidUntilMs = Math.max(health.avoidUntilMs, nowMs + avoidForMs)
 }
 
+/** Returns how long a response has been pending without contact, in milliseconds; 0 when none is pending. */
 export function measureSilence (health: EndpointHealth, nowMs: number): number {
   return health.unansweredSinceMs === null ? 0 : nowMs - health.unansweredSinceMs
 }
@@ -73,7 +78,7 @@
   return measureSilence(health, nowMs) >= SILENT_AFTER_MS
 }
 
-/** Whether requests should rather go elsewhere. */
+/** Whether requests should prefer other endpoints. */
 export function isAvoided (health: EndpointHealth, nowMs: number): boolean {
   return nowMs < health.avoidUntilMs || isSilent(health, nowMs)
 }
--- a/packages/gateway/src/pool/endpoint-pool.ts
+++ b/packages/gateway/src/pool/endpoint-pool.ts
@@ -7,20 +7,22 @@
 import { PoolError, type PoolRefusal } from './errors.ts'
 import { PooledConnection } from './pooled-connection.ts'
 
-/** Time for a connection attempt, in milliseconds; a new connection takes some tens of them across regions. */
+/** Timeout of a connection attempt, in milliseconds. Opening a connection across regions takes tens of milliseconds. */
 const CONNECT_TIMEOUT_MS = 900
-/** After an endpoint refused a connection as one too many, in milliseconds. */
+/** Backoff after the endpoint refused a connection because it has too many, in milliseconds. */
 const CONNECTION_LIMIT_BACKOFF_MS = 30
-/** After a connection attempt that failed, in milliseconds. */
+/** Backoff after a failed connection attempt, in milliseconds. */
 const CONNECT_FAILURE_BACKOFF_MS = 200
 
 export interface AcquireOptions {
   workspace: string
+  /** Client session that the connection is for. */
   session: string
+  /** 0 is served first. */
   priority: number
-  /** Longest wait, in milliseconds. */
+  /** Maximum wait for a connection, in milliseconds. */
   waitMs: number
-  /** Whether another endpoint may run it, so that it need not wait for one that has no connection left. */
+  /** Whether another endpoint can serve the request. If so, it is rejected at once when this endpoint accepts no more connections. */
   canUseOtherEndpoint?: boolean
 }
 
@@ -37,24 +39,28 @@
   connector: EndpointConnector
   clock: Clock
   logger: Logger
+  /** Returns the limits that apply to this VM now. */
   readLimits: (entry: EndpointEntry) => ConnectionLimits
+  /** Called for each connection attempt, for the metrics. */
   recordOpened: () => void
 }
 
+/** A place in the pool; `connection` is `null` while the connection is being opened. */
 interface PoolSlot extends ConnectionSlot { connection: PooledConnection | null }
 
-/** This VM's connections to one endpoint, and who waits for them. */
+/** Pool of this VM's connections to one endpoint, with the requests that wait for one. */
 export class EndpointPool {
   entry: EndpointEntry
   readonly health: EndpointHealth = createHealth()
-  /** Until then its log is likely to lack positions that reads ask for. */
+  /** Time until which the endpoint's log is likely to lack the positions that reads require. */
   laggingUntilMs = -Infinity
-  /** Since when it is known to drain; `null` while it does not. */
+  /** Since when the endpoint is known to drain; `null` while it does not. */
   drainingSinceMs: number | null = null
   readonly #options: EndpointPoolOptions
   readonly #slots = new Map<number, PoolSlot>()
   readonly #pendingRequests = new Map<number, PendingAcquire>()
   #lastId = 0
+  /** End of the backoff after a failed connection attempt. */
   #nextOpenAllowedAtMs = -Infinity
   #isStopped = false
 
@@ -64,13 +70,13 @@
     this.updateEntry(options.entry)
   }
 
-  /** Takes in what the endpoint says of itself. */
+  /** Updates the pool with the endpoint's latest directory entry. */
   updateEntry (entry: EndpointEntry): void {
     this.entry = entry
     this.drainingSinceMs = entry.isDraining ? this.drainingSinceMs ?? this.#options.clock.readNow() : null
   }
 
-  /** For how long it has drained, in milliseconds; 0 while it does not. */
+  /** Returns for how long the endpoint has been draining, in milliseconds; 0 while it does not drain. */
   measureDraining (nowMs: number): number {
     return this.drainingSinceMs === null ? 0 : nowMs - this.drainingSinceMs
   }
@@ -85,13 +91,17 @@
     return busy
   }
 
-  /** Whether a request of the workspace would find an idle connection. */
+  /** Whether an idle connection of the workspace is available. */
   hasIdleConnection (workspace: string): boolean {
     for (const slot of this.#slots.values()) if (slot.state === 'idle' && slot.workspace === workspace) return true
     return false
   }
 
-  /** @throws PoolError when no connection is to be had in time */
+  /**
+   * Waits for a connection. The caller returns it with `release`.
+   *
+   * @throws PoolError when no connection is available in time; no statement was sent to the endpoint
+   */
   async acquire ({ workspace, session, priority, waitMs, canUseOtherEndpoint = false }: AcquireOptions): Promise<PooledConnection> {
     if (this.#isStopped) throw new PoolError('endpoint is gone', { props: { refusal: 'gone' } })
     const nowMs = this.#options.clock.readNow()
@@ -103,7 +113,7 @@
     })
   }
 
-  /** Gives a connection back; one in doubt is closed. */
+  /** Returns a connection to the pool. `isReusable` is `false` when its state is not known; it is closed then. */
   release (connection: PooledConnection, isReusable: boolean): void {
     const slot = this.#slots.get(connection.id)
     if (slot === undefined) return
@@ -115,7 +125,7 @@
     this.#schedulePlan(EXCESS_IDLE_TIMEOUT_MS)
   }
 
-  /** Grants, opens and closes what the plan says; called on every change and from time to time. */
+  /** Plans and carries out the next steps. Called on every change, and by timers when a backoff or idle timeout ends. */
   runPlan (): void {
     const { clock, readLimits } = this.#options
     const nowMs = clock.readNow()
@@ -124,7 +134,7 @@
     for (const step of planConnections([...this.#slots.values()], requests, readLimits(this.entry), canOpen, nowMs)) this.#runStep(step)
   }
 
-  /** Takes no further requests; idle connections end now, others when they are released. */
+  /** Rejects pending and further requests. Closes idle connections now and the others when they are released. */
   stop (): void {
     this.#isStopped = true
     for (const id of [...this.#pendingRequests.keys()]) this.#rejectRequest(id, 'gone', 'endpoint is gone')
@@ -169,7 +179,7 @@
     const nowMs = clock.readNow()
     this.#slots.delete(slot.id)
     const reason = describeError(error)
-    logger.info('endpoint connection failed', { endpoint: this.entry.endpoint, workspace: slot.workspace, reason, afterMs: Math.round(nowMs - sentAtMs) })
+    logger.info('endpoint connection attempt failed', { endpoint: this.entry.endpoint, workspace: slot.workspace, reason, elapsedMs: Math.round(nowMs - sentAtMs) })
     if (error instanceof EndpointRefusedError) return this.#handleConnectionRefused(error.code, nowMs)
     recordUnanswered(this.health, nowMs)
     if (error instanceof ConnectionLostError && error.isRefused) recordRefused(this.health, nowMs)
--- a/packages/gateway/src/pool/errors.ts
+++ b/packages/gateway/src/pool/errors.ts
@@ -1,6 +1,11 @@
 import { BaseError } from '@camphorpitch/wire'
 
-/** Why no connection was to be had; nothing was sent. */
+/**
+ * Why a pool gave no connection: all connections are in use, the endpoint cannot be reached, or it was removed.
+ * No statement was sent to the endpoint in any of these cases.
+ */
 export type PoolRefusal = 'busy' | 'unreachable' | 'gone'
 
+/** A pool gave no connection; `refusal` is the reason. */
+
 export const PoolError = BaseError.subclass('PoolError', { props: { refusal: 'busy' as PoolRefusal } })
--- a/packages/gateway/src/pool/pooled-connection.ts
+++ b/packages/gateway/src/pool/pooled-connection.ts
@@ -2,16 +2,17 @@
 import type { EndpointAnswer, EndpointConnection } from '../backend/endpoint-connector.ts'
 import type { StatementMode } from '../backend/statement.ts'
 
+/** A prepared statement of a client session; `shape` is the definition that is sent to the endpoint. */
 export interface PreparedStatement { mode: StatementMode, shape: string }
 
-/** What a client session expects of the connection that runs its statements. */
+/** Session state that a connection must hold before it runs a statement of the client session. */
 export interface RequiredSessionState {
   session: string
   sessionValues: ReadonlyMap<string, string>
   preparedStatements: ReadonlyMap<string, PreparedStatement>
 }
 
-/** A connection of the pool, with what it holds of a client's session. */
+/** A connection of the pool, with the session state that it holds at the endpoint. */
 export class PooledConnection {
   readonly id: number
   readonly endpoint: string
@@ -31,10 +32,11 @@
   }
 
   /**
-   * Sends what brings the connection to the session's values and to the one prepared statement that runs next.
-   * Nothing is awaited: the endpoint runs what is sent in order.
+   * Sends the commands that give the connection the session's values and the prepared statement that runs next.
+   * It does not wait for the responses, because the endpoint runs commands in the order in which they are sent.
    *
-   * @returns the answers still to come; without one the connection is lost, which the statement after them shows
+   * @param preparedName the prepared statement to be executed next; `null` for none
+   * @returns the pending responses; one rejects only if the connection is lost, and then the next statement fails as well
    */
   restoreSession (required: RequiredSessionState, preparedName: string | null): Array<Promise<EndpointAnswer>> {
     const responses: Array<Promise<EndpointAnswer>> = []
@@ -50,7 +52,7 @@
       this.#heldValues.set(name, value)
     }
     if (preparedName !== null) this.#restorePrepared(required, preparedName, responses)
-    for (const response of responses) response.catch(() => {}) // Reported with the statement that follows.
+    for (const response of responses) response.catch(() => {}) // The statement that follows reports the lost connection.
     return responses
   }
 
