--- a/packages/gateway/src/routing/select-endpoint.test.ts
+++ b/packages/gateway/src/routing/select-endpoint.test.ts
@@ -1,28 +1,28 @@
 import { createSeededRandom } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { estimateAnswerMs, selectEndpoint, type ReadCandidate } from './select-endpoint.ts'
+import { estimateResponseMs, selectEndpoint, type ReadCandidate } from './select-endpoint.ts'
 
 function createCandidate (endpoint: string, options: Partial<ReadCandidate> = {}): ReadCandidate {
-  return { endpoint, isPrimary: false, isDraining: false, distance: 0, slots: 3, load: 0, answerMs: 25, hasIdle: true, isAvoided: false, isWarmingUp: false, isLagging: false, ...options }
+  return { endpoint, isPrimary: false, isDraining: false, distance: 0, slots: 3, load: 0, averageResponseMs: 25, hasIdleConnection: true, isAvoided: false, isWarmingUp: false, isLagging: false, ...options }
 }
 
 describe('choice of an endpoint', () => {
   it('prefers the near replica with an idle connection', () => {
-    const far = createCandidate('far', { distance: 2, answerMs: null })
-    const near = createCandidate('near', { answerMs: null })
+    const far = createCandidate('far', { distance: 2, averageResponseMs: null })
+    const near = createCandidate('near', { averageResponseMs: null })
     expect(selectEndpoint([far, near])?.endpoint).to.equal('near')
-    expect(selectEndpoint([createCandidate('cold', { hasIdle: false }), createCandidate('warm')])?.endpoint).to.equal('warm')
+    expect(selectEndpoint([createCandidate('cold', { hasIdleConnection: false }), createCandidate('warm')])?.endpoint).to.equal('warm')
   })
 
   it('keeps the primary for writes, but not at any price', () => {
     const primary = createCandidate('p', { isPrimary: true })
-    expect(selectEndpoint([primary, createCandidate('r', { answerMs: 40 })])?.endpoint).to.equal('r')
-    expect(selectEndpoint([primary, createCandidate('r', { answerMs: 200 })])?.endpoint).to.equal('p')
+    expect(selectEndpoint([primary, createCandidate('r', { averageResponseMs: 40 })])?.endpoint).to.equal('r')
+    expect(selectEndpoint([primary, createCandidate('r', { averageResponseMs: 200 })])?.endpoint).to.equal('p')
   })
 
   it('leaves slow, failing, lagging, warming and draining endpoints as far as there is a better one', () => {
-    const worse: Array<Partial<ReadCandidate>> = [{ answerMs: 150 }, { isAvoided: true }, { isLagging: true }, { isWarmingUp: true }, { isDraining: true }, { load: 6 }]
-    for (const w of worse) expect(selectEndpoint([createCandidate('worse', w), createCandidate('good')])?.endpoint).to.equal('good')
+    const worseOptions: Array<Partial<ReadCandidate>> = [{ averageResponseMs: 150 }, { isAvoided: true }, { isLagging: true }, { isWarmingUp: true }, { isDraining: true }, { load: 6 }]
+    for (const w of worseOptions) expect(selectEndpoint([createCandidate('worse', w), createCandidate('good')])?.endpoint).to.equal('good')
     expect(selectEndpoint([createCandidate('only', { isDraining: true, isAvoided: true })])?.endpoint).to.equal('only')
     expect(selectEndpoint([])).to.equal(undefined)
   })
@@ -30,39 +30,39 @@
 
 /** Load: steady reads on three replicas, one of which turns five times as slow for a while. */
 describe('choice of an endpoint while one replica is slow', () => {
-  function playLoad (choose: (candidates: ReadCandidate[], random: () => number) => ReadCandidate): number {
+  function simulateLoad (chooseReplica: (candidates: ReadCandidate[], random: () => number) => ReadCandidate): number {
     const random = createSeededRandom(5)
-    const replicas = ['a', 'b', 'c'].map(e => ({ candidate: createCandidate(e, { distance: 0 }), freeAt: [0, 0, 0], ends: [] as number[] }))
-    let inTime = 0
-    let asked = 0
+    const replicas = ['a', 'b', 'c'].map(e => ({ candidate: createCandidate(e, { distance: 0 }), slotFreeAtMs: [0, 0, 0], activeEndsMs: [] as number[] }))
+    let inTimeCount = 0
+    let requestCount = 0
     for (let nowMs = 0; nowMs < 30_000; nowMs += -Math.log(1 - random()) * 7) {
       for (const r of replicas) {
-        r.ends = r.ends.filter(e => e > nowMs)
-        r.candidate.load = r.ends.length
+        r.activeEndsMs = r.activeEndsMs.filter(e => e > nowMs)
+        r.candidate.load = r.activeEndsMs.length
       }
-      const chosen = choose(replicas.map(r => r.candidate), random)
+      const chosen = chooseReplica(replicas.map(r => r.candidate), random)
       const replica = replicas.find(r => r.candidate === chosen)!
       const isSlow = chosen.endpoint === 'a' && nowMs > 10_000 && nowMs < 20_000
       const workMs = 20 * (0.5 + random()) * (isSlow ? 5 : 1)
-      const lane = replica.freeAt.indexOf(Math.min(...replica.freeAt))
-      const endMs = Math.max(nowMs, replica.freeAt[lane]!) + workMs
-      replica.freeAt[lane] = endMs
-      replica.ends.push(endMs)
-      chosen.answerMs = 0.85 * (chosen.answerMs ?? endMs - nowMs) + 0.15 * (endMs - nowMs)
-      asked++
-      if (endMs - nowMs <= 100) inTime++
+      const slotIndex = replica.slotFreeAtMs.indexOf(Math.min(...replica.slotFreeAtMs))
+      const endMs = Math.max(nowMs, replica.slotFreeAtMs[slotIndex]!) + workMs
+      replica.slotFreeAtMs[slotIndex] = endMs
+      replica.activeEndsMs.push(endMs)
+      chosen.averageResponseMs = 0.85 * (chosen.averageResponseMs ?? endMs - nowMs) + 0.15 * (endMs - nowMs)
+      requestCount++
+      if (endMs - nowMs <= 100) inTimeCount++
     }
-    return inTime / asked
+    return inTimeCount / requestCount
   }
 
   it('answers more reads in time than a random choice', () => {
-    const informed = playLoad(candidates => selectEndpoint(candidates)!)
-    const random = playLoad((candidates, draw) => candidates[Math.floor(draw() * 3)]!)
+    const informed = simulateLoad(candidates => selectEndpoint(candidates)!)
+    const random = simulateLoad((candidates, draw) => candidates[Math.floor(draw() * 3)]!)
     expect(informed).to.be.greaterThan(0.93)
     expect(informed - random).to.be.greaterThan(0.05)
   })
 
   it('estimates the same for the same load', () => {
-    expect(estimateAnswerMs(createCandidate('a'))).to.equal(estimateAnswerMs(createCandidate('b')))
+    expect(estimateResponseMs(createCandidate('a'))).to.equal(estimateResponseMs(createCandidate('b')))
   })
 })
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -58,8 +58,8 @@
     distance: measureDistance(location, entry.failureDomain),
     slots: entry.slots,
     load: pool.countBusy() + pool.pendingRequestCount,
-    answerMs: health.averageResponseMs,
-    hasIdle: pool.hasIdleConnection(workspace),
+    averageResponseMs: health.averageResponseMs,
+    hasIdleConnection: pool.hasIdleConnection(workspace),
     isAvoided: isAvoided(health, nowMs),
     isWarmingUp: entry.warmupLeftMs > 0,
     isLagging: nowMs < pool.laggingUntilMs
