--- a/packages/gateway/src/routing/select-endpoint.test.ts
+++ b/packages/gateway/src/routing/select-endpoint.test.ts
@@ -6,21 +6,21 @@
   return { endpoint, isPrimary: false, isDraining: false, distance: 0, slots: 3, load: 0, averageResponseMs: 25, hasIdleConnection: true, isAvoided: false, isWarmingUp: false, isLagging: false, ...options }
 }
 
-describe('choice of an endpoint', () => {
-  it('prefers the near replica with an idle connection', () => {
+describe('endpoint selection', () => {
+  it('prefers a near replica to a far one, and one with an idle connection to one without', () => {
     const far = createCandidate('far', { distance: 2, averageResponseMs: null })
     const near = createCandidate('near', { averageResponseMs: null })
     expect(selectEndpoint([far, near])?.endpoint).to.equal('near')
     expect(selectEndpoint([createCandidate('cold', { hasIdleConnection: false }), createCandidate('warm')])?.endpoint).to.equal('warm')
   })
 
-  it('keeps the primary for writes, but not at any price', () => {
+  it('prefers replicas to the primary unless they are much slower', () => {
     const primary = createCandidate('p', { isPrimary: true })
     expect(selectEndpoint([primary, createCandidate('r', { averageResponseMs: 40 })])?.endpoint).to.equal('r')
     expect(selectEndpoint([primary, createCandidate('r', { averageResponseMs: 200 })])?.endpoint).to.equal('p')
   })
 
-  it('leaves slow, failing, lagging, warming and draining endpoints as far as there is a better one', () => {
+  it('selects a slow, failing, lagging, warming, draining or loaded endpoint only when there is no better one', () => {
     const worseOptions: Array<Partial<ReadCandidate>> = [{ averageResponseMs: 150 }, { isAvoided: true }, { isLagging: true }, { isWarmingUp: true }, { isDraining: true }, { load: 6 }]
     for (const w of worseOptions) expect(selectEndpoint([createCandidate('worse', w), createCandidate('good')])?.endpoint).to.equal('good')
     expect(selectEndpoint([createCandidate('only', { isDraining: true, isAvoided: true })])?.endpoint).to.equal('only')
@@ -28,8 +28,9 @@
   })
 })
 
-/** Load: steady reads on three replicas, one of which turns five times as slow for a while. */
-describe('choice of an endpoint while one replica is slow', () => {
+// Guards against sending reads to a replica that has become slow: steady reads run on three replicas, one of which
+// is five times slower during the second third of the run.
+describe('endpoint selection while one replica is slow', () => {
   function simulateLoad (chooseReplica: (candidates: ReadCandidate[], random: () => number) => ReadCandidate): number {
     const random = createSeededRandom(5)
     const replicas = ['a', 'b', 'c'].map(e => ({ candidate: createCandidate(e, { distance: 0 }), slotFreeAtMs: [0, 0, 0], activeEndsMs: [] as number[] }))
@@ -55,14 +56,14 @@
     return inTimeCount / requestCount
   }
 
-  it('answers more reads in time than a random choice', () => {
+  it('completes more reads in time than a random selection', () => {
     const informed = simulateLoad(candidates => selectEndpoint(candidates)!)
     const random = simulateLoad((candidates, draw) => candidates[Math.floor(draw() * 3)]!)
     expect(informed).to.be.greaterThan(0.93)
     expect(informed - random).to.be.greaterThan(0.05)
   })
 
-  it('estimates the same for the same load', () => {
+  it('estimates the same response time for endpoints in the same state', () => {
     expect(estimateResponseMs(createCandidate('a'))).to.equal(estimateResponseMs(createCandidate('b')))
   })
 })
--- a/packages/gateway/src/routing/select-endpoint.ts
+++ b/packages/gateway/src/routing/select-endpoint.ts
@@ -1,37 +1,46 @@
-/** An endpoint that may run a read, with what is known of its load. */
+/** An endpoint that may run a read, with what this VM knows of its state and load. */
 export interface ReadCandidate {
   endpoint: string
   isPrimary: boolean
   isDraining: boolean
   /** 0 in this VM's failure domain, 1 in its region, 2 elsewhere. */
   distance: 0 | 1 | 2
+  /** Number of statements that the endpoint runs at a time. */
   slots: number
-  /** Statements of this VM that run there or wait for a connection. */
+  /** Number of this VM's statements that run on the endpoint or wait for a connection to it. */
   load: number
-  /** Average time to an answer; `null` before the first. */
+  /** Average response time, in milliseconds; `null` before the first response. */
   averageResponseMs: number | null
-  /** Whether a connection of the workspace is idle. */
+  /** Whether an idle connection of the workspace is available. */
   hasIdleConnection: boolean
+  /** Whether the endpoint recently failed, was too busy or is unresponsive. */
   isAvoided: boolean
   isWarmingUp: boolean
-  /** Whether its log lacked a position a moment ago. */
+  /** Whether the endpoint's log recently lacked a required position. */
   isLagging: boolean
 }
 
-/** Time to an answer from an endpoint not yet used, in milliseconds, by distance. */
+/** Response time assumed for an endpoint that has not responded yet, in milliseconds, by distance. */
 const DEFAULT_RESPONSE_MS = [25, 30, 45] as const
 /** Time to open a connection, in milliseconds, by distance. */
 const CONNECTION_OPEN_MS = [14, 18, 50] as const
-/** The primary's slots are kept for writes unless replicas are this much slower, in milliseconds. */
+/** Keeps the primary's slots for writes unless the replicas are slower by more than this, in milliseconds. */
 const PRIMARY_PENALTY_MS = 30
+/** Expected slowdown of an endpoint that is still warming up. */
 const WARM_UP_SLOWDOWN_FACTOR = 1.6
-/** A replica that lags is likely to answer only that it does. */
+/** A lagging replica is likely to refuse the read because its log lacks the required position. */
 const LAGGING_PENALTY_MS = 1_000
-/** Above any sum of the times: such endpoints are a last resort. */
+/** Larger than any sum of response times and smaller penalties, so that an avoided endpoint is used only as a last resort. */
 const AVOIDED_PENALTY_MS = 10_000
+/** Larger than all other penalties, so that a draining endpoint is used only when no other one is available. */
 const DRAINING_PENALTY_MS = 100_000
 
-/** @example estimateAnswerMs(candidate) // 31 */
+/**
+ * Estimates the response time of a read on an endpoint, in milliseconds: its usual response time, the wait behind
+ * other statements and the opening of a connection, plus penalties that rank less suitable endpoints last.
+ *
+ * @example estimateResponseMs(candidate) // 31
+ */
 export function estimateResponseMs (candidate: ReadCandidate): number {
   const responseMs = (candidate.averageResponseMs ?? DEFAULT_RESPONSE_MS[candidate.distance]) * (candidate.isWarmingUp ? WARM_UP_SLOWDOWN_FACTOR : 1)
   const queueMs = responseMs * candidate.load / candidate.slots
@@ -40,7 +49,7 @@
   return responseMs + queueMs + connectMs + penaltyMs
 }
 
-/** The endpoint that is likely to answer first; `undefined` without any. */
+/** Selects the endpoint with the lowest estimate, the first one among equals; `undefined` when there are no candidates. */
 export function selectEndpoint (candidates: readonly ReadCandidate[]): ReadCandidate | undefined {
   let best: ReadCandidate | undefined
   let bestEstimatedMs = Infinity
