--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -231,7 +231,7 @@
     if (this.#route === null || this.#workspace === null) throw new Error('statement outside of an admitted session')
     return {
       statement,
-      contents: { session: this.id, sessionValues: values, preparedStatements: prepared },
+      requiredState: { session: this.id, sessionValues: values, preparedStatements: prepared },
       preparedName,
       workspace: this.#workspace,
       route: this.#route,
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -87,13 +87,13 @@
 
   recordOutcome = (operation: Operation, outcome: Outcome): void => {
     const { metrics } = this.#options
-    const { route: { service }, statement, workspace, contents, receivedAtMs } = operation
+    const { route: { service }, statement, workspace, requiredState, receivedAtMs } = operation
     const error = 'refusal' in outcome ? outcome.refusal : outcome.answer.error
     const tookMs = this.clock.readNow() - receivedAtMs
     metrics.statementSeconds.observe({ service, outcome: error === null ? 'answered' : 'error' }, tookMs / MS_PER_SECOND)
     if (error === null) return
     metrics.refusals.inc({ service, code: error.code })
-    this.logger.warn('statement not served', { id: statement.id, type: statement.type, session: contents.session, workspace, service, tookMs: Math.round(tookMs), ...error })
+    this.logger.warn('statement not served', { id: statement.id, type: statement.type, session: requiredState.session, workspace, service, tookMs: Math.round(tookMs), ...error })
   }
 
   removeSession = (session: ClientSession): void => this.#options.removeSession(session)
@@ -119,15 +119,15 @@
       location: { failureDomain, regions },
       rollbackTimeoutMs: ROLLBACK_TIMEOUT_MS,
       verifyLeadership: async (group, waitMs) => await questions.verifyLeadership(group, waitMs),
-      findPrimaryAgain: group => { questions.findPrimary(group).catch((error: unknown) => logger.error('primary not looked for', { error: String(error) })) },
+      refreshPrimary: group => { questions.findPrimary(group).catch((error: unknown) => logger.error('primary not looked for', { error: String(error) })) },
       estimateRecoveryMs: group => failover.estimateRecoveryMs(group),
-      logAttempt: (operation, pool, atLeast, answer) => {
-        const { statement, workspace, route, contents } = operation
+      logResponse: (operation, pool, atLeast, answer) => {
+        const { statement, workspace, route, requiredState } = operation
         const { entry, health } = pool
         logger.info('statement placed', {
           id: statement.id,
           type: statement.type,
-          session: contents.session,
+          session: requiredState.session,
           workspace,
           route: route.name,
           endpoint: entry.endpoint,
@@ -140,7 +140,7 @@
           outcome: answer.error?.code ?? 'answered'
         })
       },
-      logLoss: (operation, pool, reason) => logger.warn('statement not answered', { id: operation.statement.id, type: operation.statement.type, endpoint: pool.entry.endpoint, reason, silenceMs: pool.health.unansweredSinceMs === null ? 0 : Math.round(clock.readNow() - pool.health.unansweredSinceMs) })
+      logNoResponse: (operation, pool, reason) => logger.warn('statement not answered', { id: operation.statement.id, type: operation.statement.type, endpoint: pool.entry.endpoint, reason, silenceMs: pool.health.unansweredSinceMs === null ? 0 : Math.round(clock.readNow() - pool.health.unansweredSinceMs) })
     }
   }
 }
--- a/packages/gateway/src/statements/operation.ts
+++ b/packages/gateway/src/statements/operation.ts
@@ -7,7 +7,7 @@
 /** A statement to run on an endpoint, for whom and by when. */
 export interface Operation {
   statement: ClientStatement
-  contents: RequiredSessionState
+  requiredState: RequiredSessionState
   /** Prepared statement that it executes. */
   preparedName: string | null
   workspace: string
@@ -21,11 +21,11 @@
 export type Outcome = { answer: EndpointAnswer, endpoint: string } | { refusal: AnswerError }
 
 /** Part of an operation's objective for which it may wait before an endpoint is offered it. */
-const WAITING_PART = 0.25
+const MAX_WAIT_FRACTION = 0.25
 
 /** Milliseconds for which the operation may still wait before it is offered to an endpoint. */
 export function computeWaitMs ({ route, receivedAtMs }: Operation, nowMs: number): number {
-  return Math.max(0, receivedAtMs + route.objectiveMs * WAITING_PART - nowMs)
+  return Math.max(0, receivedAtMs + route.objectiveMs * MAX_WAIT_FRACTION - nowMs)
 }
 
 /** Milliseconds until the statement's time is over. */
--- a/packages/gateway/src/statements/pinned-transaction.ts
+++ b/packages/gateway/src/statements/pinned-transaction.ts
@@ -8,12 +8,12 @@
 import { computeTimeLeftMs, computeWaitMs, createRetryRefusal, readMaxStalenessMs, type Operation, type Outcome } from './operation.ts'
 import { findReadTarget, type ReadTarget } from './read-targets.ts'
 import { LAGGING_AVOID_MS } from './run-read.ts'
-import { acquirePrimary } from './run-write.ts'
+import { acquirePrimaryConnection } from './run-write.ts'
 import type { StatementContext } from './statement-context.ts'
 
 /** Tries of a statement inside a transaction whose endpoint was too busy; it goes before new work. */
-const BUSY_TRIES = 4
-const BUSY_PAUSE_MS = 25
+const MAX_BUSY_ATTEMPTS = 4
+const BUSY_BACKOFF_MS = 25
 const RETRY_AFTER_MS = 100
 
 export interface PinnedTransactionOptions {
@@ -42,40 +42,40 @@
   }
 
   /** Whether the endpoint still has the transaction, as far as is known. */
-  get isAlive (): boolean {
+  get isOpen (): boolean {
     return !this.#isEnded && this.#connection.connection.isOpen
   }
 
   /** Runs a read or write. After an error the transaction is rolled back at the endpoint, so that what the error promises holds. */
   async run (operation: Operation, isWrite: boolean): Promise<Outcome> {
-    if (!this.isAlive) return this.#abandon('the transaction\'s connection was lost')
+    if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     if (isWrite) this.#hasWritten = true
     try {
-      const answer = await this.#runPatiently(operation, false)
-      this.#context.logAttempt(operation, this.pool, null, answer)
-      if (answer.error?.code === 'readOnly') this.#context.findPrimaryAgain(this.#group)
+      const answer = await this.#runWithRetries(operation, false)
+      this.#context.logResponse(operation, this.pool, null, answer)
+      if (answer.error?.code === 'readOnly') this.#context.refreshPrimary(this.#group)
       if (answer.error !== null || answer.state !== 'open') this.rollback()
       return { answer, endpoint: this.pool.entry.endpoint }
     } catch (error) {
       const reason = describeError(error)
-      this.#context.logLoss(operation, this.pool, reason)
+      this.#context.logNoResponse(operation, this.pool, reason)
       return this.#abandon(reason)
     }
   }
 
   /** Commits. Without an answer the outcome is unknown, unless nothing was written. */
   async commit (operation: Operation): Promise<Outcome> {
-    if (!this.isAlive) return this.#abandon('the transaction\'s connection was lost')
+    if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     try {
-      const answer = await this.#runPatiently(operation, this.#hasWritten)
-      this.#context.logAttempt(operation, this.pool, null, answer)
+      const answer = await this.#runWithRetries(operation, this.#hasWritten)
+      this.#context.logResponse(operation, this.pool, null, answer)
       if (answer.state === 'idle') this.#end(true)
       else this.rollback()
       return { answer, endpoint: this.pool.entry.endpoint }
     } catch (error) {
       this.#end(false)
       const reason = describeError(error)
-      this.#context.logLoss(operation, this.pool, reason)
+      this.#context.logNoResponse(operation, this.pool, reason)
       return { refusal: { code: this.#hasWritten ? 'inDoubt' : 'failed', text: reason } }
     }
   }
@@ -92,16 +92,16 @@
     )
   }
 
-  async #runPatiently (operation: Operation, isWrite: boolean): Promise<EndpointAnswer> {
+  async #runWithRetries (operation: Operation, isWrite: boolean): Promise<EndpointAnswer> {
     const { clock } = this.#context
-    const { statement, contents, preparedName } = operation
-    for (let tries = 1; ; tries++) {
-      this.#connection.restoreSession(contents, preparedName)
+    const { statement, requiredState, preparedName } = operation
+    for (let attemptCount = 1; ; attemptCount++) {
+      this.#connection.restoreSession(requiredState, preparedName)
       const timeLeftMs = computeTimeLeftMs(operation, clock.readNow())
       const answer = await this.#group.runStatement(this.pool, isWrite, timeLeftMs, async () => await this.#connection.run(statement.id, statement.text, null))
-      const isWorthRepeating = answer.error?.code === 'busy' && answer.state === 'open' && tries < BUSY_TRIES
-      if (!isWorthRepeating || computeTimeLeftMs(operation, clock.readNow()) < 2 * BUSY_PAUSE_MS) return answer
-      await new Promise(resolve => setTimeout(resolve, BUSY_PAUSE_MS * tries))
+      const canRetry = answer.error?.code === 'busy' && answer.state === 'open' && attemptCount < MAX_BUSY_ATTEMPTS
+      if (!canRetry || computeTimeLeftMs(operation, clock.readNow()) < 2 * BUSY_BACKOFF_MS) return answer
+      await new Promise(resolve => setTimeout(resolve, BUSY_BACKOFF_MS * attemptCount))
     }
   }
 
@@ -120,21 +120,21 @@
 /** Opens a transaction for its first statement: read-only ones where a read would go, others at the primary. */
 export async function openTransaction (context: StatementContext, group: ServiceGroup, operation: Operation, isReadOnly: boolean): Promise<OpenedTransaction> {
   if (isReadOnly) {
-    const opened = await openReadOnly(context, group, operation)
-    if (opened !== undefined) return opened
+    const openedAtReadTarget = await openAtReadTarget(context, group, operation)
+    if (openedAtReadTarget !== undefined) return openedAtReadTarget
   }
   return await openAtPrimary(context, group, operation, isReadOnly)
 }
 
-async function openReadOnly (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<OpenedTransaction | undefined> {
+async function openAtReadTarget (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<OpenedTransaction | undefined> {
   const { clock, location } = context
-  const tried = new Set<string>()
-  for (let tries = 0; tries < 2; tries++) {
-    const target = findReadTarget(group, operation, tried, location, clock)
+  const triedEndpoints = new Set<string>()
+  for (let attemptCount = 0; attemptCount < 2; attemptCount++) {
+    const target = findReadTarget(group, operation, triedEndpoints, location, clock)
     if (typeof target === 'string') return undefined
-    tried.add(target.pool.entry.endpoint)
-    const opened = await beginAt(context, group, operation, target)
-    if ('transaction' in opened) return opened
+    triedEndpoints.add(target.pool.entry.endpoint)
+    const opening = await beginAtReadTarget(context, group, operation, target)
+    if ('transaction' in opening) return opening
   }
   return undefined
 }
@@ -143,7 +143,7 @@
   const { clock } = context
   const isFresh = (): boolean => isPrimaryFresh(group.state, readMaxStalenessMs(operation), clock.readNow())
   if (group.isWritable && !isFresh()) await context.verifyLeadership(group, computeWaitMs(operation, clock.readNow()))
-  const acquired = await acquirePrimary(context, group, operation)
+  const acquired = await acquirePrimaryConnection(context, group, operation)
   if ('refusal' in acquired) return acquired
   if (!isFresh()) {
     acquired.pool.release(acquired.connection, true)
@@ -152,10 +152,10 @@
   return await sendBegin(context, group, operation, { pool: acquired.pool, atLeast: null, isReadOnly }, acquired.connection)
 }
 
-async function beginAt (context: StatementContext, group: ServiceGroup, operation: Operation, { pool, atLeast }: ReadTarget): Promise<OpenedTransaction> {
-  const { workspace, contents, route } = operation
+async function beginAtReadTarget (context: StatementContext, group: ServiceGroup, operation: Operation, { pool, atLeast }: ReadTarget): Promise<OpenedTransaction> {
+  const { workspace, requiredState, route } = operation
   try {
-    const connection = await pool.acquire({ workspace, session: contents.session, priority: route.priority, waitMs: computeWaitMs(operation, context.clock.readNow()) })
+    const connection = await pool.acquire({ workspace, session: requiredState.session, priority: route.priority, waitMs: computeWaitMs(operation, context.clock.readNow()) })
     return await sendBegin(context, group, operation, { pool, atLeast, isReadOnly: true }, connection)
   } catch (error) {
     if (!(error instanceof PoolError)) throw error
@@ -163,27 +163,27 @@
   }
 }
 
-async function sendBegin (context: StatementContext, group: ServiceGroup, operation: Operation, where: ReadTarget & { isReadOnly: boolean }, connection: PooledConnection): Promise<OpenedTransaction> {
-  const { pool, atLeast, isReadOnly } = where
-  connection.restoreSession(operation.contents, null)
+async function sendBegin (context: StatementContext, group: ServiceGroup, operation: Operation, target: ReadTarget & { isReadOnly: boolean }, connection: PooledConnection): Promise<OpenedTransaction> {
+  const { pool, atLeast, isReadOnly } = target
+  connection.restoreSession(operation.requiredState, null)
   try {
     const timeLeftMs = computeTimeLeftMs(operation, context.clock.readNow())
     const answer = await group.runStatement(pool, false, timeLeftMs, async () => await connection.connection.begin(operation.statement.id, isReadOnly, atLeast))
     if (answer.error === null && answer.state === 'open') return { transaction: new PinnedTransaction({ context, group, pool, connection }) }
     pool.release(connection, answer.state === 'idle')
-    context.logAttempt(operation, pool, atLeast, answer)
-    return describeFailedBegin(context, group, pool, answer)
+    context.logResponse(operation, pool, atLeast, answer)
+    return createBeginRefusal(context, group, pool, answer)
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
-    context.logLoss(operation, pool, reason)
+    context.logNoResponse(operation, pool, reason)
     return createRetryRefusal('aborted', reason, RETRY_AFTER_MS)
   }
 }
 
-function describeFailedBegin (context: StatementContext, group: ServiceGroup, pool: EndpointPool, { error }: EndpointAnswer): OpenedTransaction {
+function createBeginRefusal (context: StatementContext, group: ServiceGroup, pool: EndpointPool, { error }: EndpointAnswer): OpenedTransaction {
   if (error?.code === 'lagging') pool.laggingUntilMs = context.clock.readNow() + LAGGING_AVOID_MS
-  if (error?.code === 'readOnly') context.findPrimaryAgain(group)
+  if (error?.code === 'readOnly') context.refreshPrimary(group)
   const code = error?.code === 'lagging' || error?.code === 'readOnly' ? error.code : 'busy'
   return createRetryRefusal(code, error?.text ?? 'the transaction could not be opened', RETRY_AFTER_MS)
 }
--- a/packages/gateway/src/statements/read-targets.test.ts
+++ b/packages/gateway/src/statements/read-targets.test.ts
@@ -18,7 +18,7 @@
 
 const operation: Operation = {
   statement: { id: '1', text: 'READ 1', type: 'read' },
-  contents: { session: 'x', sessionValues: new Map(), preparedStatements: new Map() },
+  requiredState: { session: 'x', sessionValues: new Map(), preparedStatements: new Map() },
   preparedName: null,
   workspace: 'lab',
   route: { name: 'r', database: 'd', service: 's', consistency: 'boundedStaleness', statementTimeoutMs: 1_000, objectiveMs: 400, priority: 1, maxStalenessMs: 1_500, isPublic: false },
@@ -37,7 +37,7 @@
   return group
 }
 
-const find = (group: ServiceGroup, clock: VirtualClock, tried: string[] = [], op = operation): string => {
+const findTargetName = (group: ServiceGroup, clock: VirtualClock, tried: string[] = [], op = operation): string => {
   const target = findReadTarget(group, op, new Set(tried), location, clock)
   return typeof target === 'string' ? target : target.pool.entry.endpoint
 }
@@ -47,18 +47,18 @@
     const clock = new VirtualClock()
     const group = createGroup(clock)
     group.updateEntry(createEntry('a', { isDraining: true }))
-    expect(find(group, clock)).to.equal('b')
-    expect(find(group, clock, ['b', 'p'])).to.equal('none')
+    expect(findTargetName(group, clock)).to.equal('b')
+    expect(findTargetName(group, clock, ['b', 'p'])).to.equal('none')
   })
 
   it('use draining endpoints for a while where none stays, and then no longer', () => {
     const clock = new VirtualClock()
     const group = createGroup(clock)
     for (const e of ['p', 'a', 'b']) group.updateEntry(createEntry(e, { isDraining: true, role: e === 'p' ? 'primary' : 'replica' }))
-    expect(find(group, clock)).to.not.equal('none')
+    expect(findTargetName(group, clock)).to.not.equal('none')
     clock.nowMs = DRAINING_USE_MS
     addSample(group.state, { atMs: clock.nowMs, position: { term: 1, index: 9 } })
-    expect(find(group, clock)).to.equal('none')
+    expect(findTargetName(group, clock)).to.equal('none')
   })
 
   it('ask for the session\'s own position where it is later', () => {
@@ -73,8 +73,8 @@
     const group = createGroup(clock)
     const strict = { ...operation, route: { ...operation.route, consistency: 'primary' as const } }
     clock.nowMs = 100
-    expect(find(group, clock, [], strict)).to.equal('p')
+    expect(findTargetName(group, clock, [], strict)).to.equal('p')
     clock.nowMs = 60_000
-    expect(find(group, clock, [], strict)).to.equal('unproven')
+    expect(findTargetName(group, clock, [], strict)).to.equal('unproven')
   })
 })
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -7,7 +7,7 @@
 import { readMaxStalenessMs, type Operation } from './operation.ts'
 
 /** Where this VM stands, for distances. */
-export interface Location {
+export interface VmLocation {
   failureDomain: string
   /** Region of each failure domain. */
   regions: Readonly<Record<string, string>>
@@ -24,32 +24,32 @@
  *
  * @returns `unproven` when neither a position nor the primary is known to be fresh enough
  */
-export function findReadTarget (group: ServiceGroup, operation: Operation, tried: ReadonlySet<string>, location: Location, clock: Clock): ReadTarget | 'unproven' | 'none' {
+export function findReadTarget (group: ServiceGroup, operation: Operation, triedEndpoints: ReadonlySet<string>, location: VmLocation, clock: Clock): ReadTarget | 'unproven' | 'none' {
   const nowMs = clock.readNow()
   const maxStalenessMs = readMaxStalenessMs(operation)
-  const required = findRequiredPosition(group.state, maxStalenessMs, nowMs)
-  if (required === undefined) return findPrimaryTarget(group, maxStalenessMs, tried, nowMs)
+  const requiredPosition = findRequiredPosition(group.state, maxStalenessMs, nowMs)
+  if (requiredPosition === undefined) return findPrimaryTarget(group, maxStalenessMs, triedEndpoints, nowMs)
   const { sessionPosition } = operation
-  const atLeast = pickLaterPosition(sessionPosition, required)
-  const candidates = listUsable(group, nowMs).filter(p => !tried.has(p.entry.endpoint)).map(p => describeCandidate(group, p, operation.workspace, location, nowMs))
+  const atLeast = pickLaterPosition(sessionPosition, requiredPosition)
+  const candidates = listUsablePools(group, nowMs).filter(p => !triedEndpoints.has(p.entry.endpoint)).map(p => createCandidate(group, p, operation.workspace, location, nowMs))
   const pool = group.pools.get(selectEndpoint(candidates)?.endpoint ?? '')
   return pool === undefined ? 'none' : { pool, atLeast }
 }
 
 /** Endpoints that stay, or, where none does, those that have drained only shortly. */
-function listUsable (group: ServiceGroup, nowMs: number): EndpointPool[] {
+function listUsablePools (group: ServiceGroup, nowMs: number): EndpointPool[] {
   const pools = [...group.pools.values()]
-  const staying = pools.filter(p => !p.entry.isDraining)
-  return staying.length > 0 ? staying : pools.filter(p => p.measureDraining(nowMs) < DRAINING_USE_MS)
+  const notDraining = pools.filter(p => !p.entry.isDraining)
+  return notDraining.length > 0 ? notDraining : pools.filter(p => p.measureDraining(nowMs) < DRAINING_USE_MS)
 }
 
-function findPrimaryTarget (group: ServiceGroup, maxStalenessMs: number, tried: ReadonlySet<string>, nowMs: number): ReadTarget | 'unproven' | 'none' {
+function findPrimaryTarget (group: ServiceGroup, maxStalenessMs: number, triedEndpoints: ReadonlySet<string>, nowMs: number): ReadTarget | 'unproven' | 'none' {
   const pool = group.primaryPool
-  if (pool === undefined || tried.has(pool.entry.endpoint) || pool.measureDraining(nowMs) >= DRAINING_USE_MS) return 'none'
+  if (pool === undefined || triedEndpoints.has(pool.entry.endpoint) || pool.measureDraining(nowMs) >= DRAINING_USE_MS) return 'none'
   return isPrimaryFresh(group.state, maxStalenessMs, nowMs) ? { pool, atLeast: null } : 'unproven'
 }
 
-function describeCandidate (group: ServiceGroup, pool: EndpointPool, workspace: string, location: Location, nowMs: number): ReadCandidate {
+function createCandidate (group: ServiceGroup, pool: EndpointPool, workspace: string, location: VmLocation, nowMs: number): ReadCandidate {
   const { entry, health } = pool
   return {
     endpoint: entry.endpoint,
@@ -67,7 +67,7 @@
 }
 
 /** 0 in the same failure domain, 1 in the same region, 2 elsewhere. */
-export function measureDistance ({ failureDomain, regions }: Location, other: string): 0 | 1 | 2 {
-  if (failureDomain === other) return 0
-  return regions[failureDomain] !== undefined && regions[failureDomain] === regions[other] ? 1 : 2
+export function measureDistance ({ failureDomain, regions }: VmLocation, otherDomain: string): 0 | 1 | 2 {
+  if (failureDomain === otherDomain) return 0
+  return regions[failureDomain] !== undefined && regions[failureDomain] === regions[otherDomain] ? 1 : 2
 }
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -11,12 +11,12 @@
 import type { StatementContext } from './statement-context.ts'
 
 /** A read left without an answer for this many times the usual is also sent elsewhere. */
-const HEDGE_FACTOR = 4
+const HEDGE_DELAY_FACTOR = 4
 /** Bounds of the time before a read is also sent elsewhere, in milliseconds. */
-const SHORTEST_HEDGE_MS = 150
-const LONGEST_HEDGE_MS = 450
+const MIN_HEDGE_DELAY_MS = 150
+const MAX_HEDGE_DELAY_MS = 450
 /** Endpoints that one read may go to. */
-const MOST_ATTEMPTS = 3
+const MAX_ATTEMPTS = 3
 /** An endpoint that was too busy for a read is passed over for this long, in milliseconds. */
 const BUSY_AVOID_MS = 100
 /** A replica whose log lacked a position is passed over for this long, in milliseconds. */
@@ -24,59 +24,59 @@
 /** When a read that no endpoint can run now is worth repeating, in milliseconds. */
 const RETRY_AFTER_MS = 200
 
-const budgets = new WeakMap<ServiceGroup, RetryBudget>()
+const retryBudgets = new WeakMap<ServiceGroup, RetryBudget>()
 
-function readBudget (group: ServiceGroup): RetryBudget {
-  const budget = budgets.get(group) ?? createRetryBudget()
-  budgets.set(group, budget)
+function ensureRetryBudget (group: ServiceGroup): RetryBudget {
+  const budget = retryBudgets.get(group) ?? createRetryBudget()
+  retryBudgets.set(group, budget)
   return budget
 }
 
-type Attempt = { kind: 'answered', answer: EndpointAnswer, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
+type AttemptResult = { kind: 'answered', answer: EndpointAnswer, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
 
 /** Runs a read outside of a transaction; it may go to several endpoints, as it changes nothing. */
 export async function runRead (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Outcome> {
   const { clock } = context
-  const tried = new Set<string>()
-  const pending = new Set<Promise<Attempt>>()
-  const budget = readBudget(group)
-  recordRequest(budget)
-  let last: Attempt | undefined
-  let target = await findProvenTarget(context, group, operation)
-  for (let attempts = 1; ; attempts++) {
+  const triedEndpoints = new Set<string>()
+  const pendingAttempts = new Set<Promise<AttemptResult>>()
+  const retryBudget = ensureRetryBudget(group)
+  recordRequest(retryBudget)
+  let lastResult: AttemptResult | undefined
+  let target = await findFirstTarget(context, group, operation)
+  for (let attemptCount = 1; ; attemptCount++) {
     if (typeof target !== 'string') {
-      tried.add(target.pool.entry.endpoint)
+      triedEndpoints.add(target.pool.entry.endpoint)
       const nowMs = clock.readNow()
       // A read that has been offered to an endpoint already may wait for as long as it has time.
-      const waitMs = attempts === 1 ? computeWaitMs(operation, nowMs) : computeTimeLeftMs(operation, nowMs)
-      pending.add(startAttempt(context, group, operation, target, waitMs))
-    } else if (pending.size === 0) return describeFailure(operation, target, last)
-    const patienceMs = typeof target === 'string' ? computeTimeLeftMs(operation, clock.readNow()) : computeHedgeMs(target)
-    last = await waitForAttempt(pending, patienceMs) ?? last
-    if (isFinal(last)) return { answer: last.answer, endpoint: last.endpoint }
-    if (computeTimeLeftMs(operation, clock.readNow()) <= 1) return describeFailure(operation, 'none', last)
-    const mayHedge = pending.size === 0 || spendRetry(budget)
-    target = mayHedge ? selectNext(context, group, operation, tried, attempts) : 'none'
+      const waitMs = attemptCount === 1 ? computeWaitMs(operation, nowMs) : computeTimeLeftMs(operation, nowMs)
+      pendingAttempts.add(startAttempt(context, group, operation, target, waitMs))
+    } else if (pendingAttempts.size === 0) return createFailureOutcome(operation, target, lastResult)
+    const resultWaitMs = typeof target === 'string' ? computeTimeLeftMs(operation, clock.readNow()) : computeHedgeDelayMs(target)
+    lastResult = await waitForResult(pendingAttempts, resultWaitMs) ?? lastResult
+    if (hasFinalAnswer(lastResult)) return { answer: lastResult.answer, endpoint: lastResult.endpoint }
+    if (computeTimeLeftMs(operation, clock.readNow()) <= 1) return createFailureOutcome(operation, 'none', lastResult)
+    const canAttemptAgain = pendingAttempts.size === 0 || spendRetry(retryBudget)
+    target = canAttemptAgain ? selectNextTarget(context, group, operation, triedEndpoints, attemptCount) : 'none'
   }
 }
 
-function isFinal (attempt: Attempt | undefined): attempt is Extract<Attempt, { kind: 'answered' }> {
-  return attempt?.kind === 'answered' && !isRetryable(attempt.answer.error?.code)
+function hasFinalAnswer (result: AttemptResult | undefined): result is Extract<AttemptResult, { kind: 'answered' }> {
+  return result?.kind === 'answered' && !isRetryable(result.answer.error?.code)
 }
 
 function isRetryable (code: ErrorCode | undefined): boolean {
   return code === 'busy' || code === 'lagging' || code === 'failed' || code === 'noStatement'
 }
 
-function selectNext (context: StatementContext, group: ServiceGroup, operation: Operation, tried: ReadonlySet<string>, attempts: number): ReadTarget | string {
-  if (attempts >= MOST_ATTEMPTS) return 'none'
-  const hasLagged = [...tried].some(e => context.clock.readNow() < (group.pools.get(e)?.laggingUntilMs ?? -Infinity))
+function selectNextTarget (context: StatementContext, group: ServiceGroup, operation: Operation, triedEndpoints: ReadonlySet<string>, attemptCount: number): ReadTarget | string {
+  if (attemptCount >= MAX_ATTEMPTS) return 'none'
+  const hasLaggingEndpoint = [...triedEndpoints].some(e => context.clock.readNow() < (group.pools.get(e)?.laggingUntilMs ?? -Infinity))
   const { primaryPool } = group
-  if (hasLagged && primaryPool !== undefined && !tried.has(primaryPool.entry.endpoint)) {
-    const required = findReadTarget(group, operation, new Set([...group.pools.keys()].filter(e => e !== primaryPool.entry.endpoint)), context.location, context.clock)
-    if (typeof required !== 'string') return required
+  if (hasLaggingEndpoint && primaryPool !== undefined && !triedEndpoints.has(primaryPool.entry.endpoint)) {
+    const primaryTarget = findReadTarget(group, operation, new Set([...group.pools.keys()].filter(e => e !== primaryPool.entry.endpoint)), context.location, context.clock)
+    if (typeof primaryTarget !== 'string') return primaryTarget
   }
-  const target = findReadTarget(group, operation, tried, context.location, context.clock)
+  const target = findReadTarget(group, operation, triedEndpoints, context.location, context.clock)
   if (target !== 'none') return target
   const pool = group.primaryPool
   // The primary shows every acknowledged write, also where a position it never acknowledged was asked for.
@@ -84,67 +84,67 @@
   return isPrimaryUsable ? { pool, atLeast: null } : 'none'
 }
 
-async function findProvenTarget (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<ReadTarget | string> {
-  const find = (): ReadTarget | 'unproven' | 'none' => findReadTarget(group, operation, new Set(), context.location, context.clock)
-  const target = find()
-  if (target !== 'unproven') return target === 'none' ? await waitForTarget(context, group, operation, find) : target
+async function findFirstTarget (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<ReadTarget | string> {
+  const findTarget = (): ReadTarget | 'unproven' | 'none' => findReadTarget(group, operation, new Set(), context.location, context.clock)
+  const target = findTarget()
+  if (target !== 'unproven') return target === 'none' ? await waitForTarget(context, group, operation, findTarget) : target
   await context.verifyLeadership(group, computeWaitMs(operation, context.clock.readNow()))
-  return find()
+  return findTarget()
 }
 
-async function waitForTarget (context: StatementContext, group: ServiceGroup, operation: Operation, find: () => ReadTarget | 'unproven' | 'none'): Promise<ReadTarget | string> {
-  await group.waitUntil(() => typeof find() !== 'string', computeWaitMs(operation, context.clock.readNow()))
-  return find()
+async function waitForTarget (context: StatementContext, group: ServiceGroup, operation: Operation, findTarget: () => ReadTarget | 'unproven' | 'none'): Promise<ReadTarget | string> {
+  await group.waitUntil(() => typeof findTarget() !== 'string', computeWaitMs(operation, context.clock.readNow()))
+  return findTarget()
 }
 
-function computeHedgeMs ({ pool }: ReadTarget): number {
-  return Math.min(LONGEST_HEDGE_MS, Math.max(SHORTEST_HEDGE_MS, HEDGE_FACTOR * (pool.health.averageResponseMs ?? 0)))
+function computeHedgeDelayMs ({ pool }: ReadTarget): number {
+  return Math.min(MAX_HEDGE_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * (pool.health.averageResponseMs ?? 0)))
 }
 
 /** Waits for one of the attempts to end. @returns `undefined` when none did in time */
-async function waitForAttempt (pending: Set<Promise<Attempt>>, waitMs: number): Promise<Attempt | undefined> {
+async function waitForResult (pendingAttempts: Set<Promise<AttemptResult>>, waitMs: number): Promise<AttemptResult | undefined> {
   let timer: NodeJS.Timeout | undefined
   const expired = new Promise<undefined>(resolve => { timer = setTimeout(() => resolve(undefined), waitMs) })
-  const ended = [...pending].map(async attempt => ({ attempt, result: await attempt }))
-  const first = await Promise.race([...ended, expired])
+  const endedAttempts = [...pendingAttempts].map(async attempt => ({ attempt, result: await attempt }))
+  const first = await Promise.race([...endedAttempts, expired])
   clearTimeout(timer)
   if (first === undefined) return undefined
-  pending.delete(first.attempt)
+  pendingAttempts.delete(first.attempt)
   return first.result
 }
 
-async function startAttempt (context: StatementContext, group: ServiceGroup, operation: Operation, target: ReadTarget, waitMs: number): Promise<Attempt> {
+async function startAttempt (context: StatementContext, group: ServiceGroup, operation: Operation, target: ReadTarget, waitMs: number): Promise<AttemptResult> {
   const { pool, atLeast } = target
   const { clock } = context
-  const { workspace, contents, route, statement, preparedName } = operation
+  const { workspace, requiredState, route, statement, preparedName } = operation
   let connection: PooledConnection
   try {
-    connection = await pool.acquire({ workspace, session: contents.session, priority: route.priority, waitMs, canUseOtherEndpoint: pool !== group.primaryPool })
+    connection = await pool.acquire({ workspace, session: requiredState.session, priority: route.priority, waitMs, canUseOtherEndpoint: pool !== group.primaryPool })
   } catch (error) {
     if (!(error instanceof PoolError)) throw error
     return { kind: 'notRun', reason: error.message, code: 'busy' }
   }
-  const restored = connection.restoreSession(contents, preparedName)
+  const restoreResponses = connection.restoreSession(requiredState, preparedName)
   try {
     const answer = await group.runStatement(pool, false, computeTimeLeftMs(operation, clock.readNow()), async () => await connection.run(statement.id, statement.text, atLeast))
-    await Promise.all(restored)
+    await Promise.all(restoreResponses)
     pool.release(connection, answer.state === 'idle')
     if (answer.error?.code === 'lagging') pool.laggingUntilMs = clock.readNow() + LAGGING_AVOID_MS
     if (answer.error?.code === 'busy') recordBusy(pool.health, BUSY_AVOID_MS, clock.readNow())
-    context.logAttempt(operation, pool, atLeast, answer)
+    context.logResponse(operation, pool, atLeast, answer)
     return { kind: 'answered', answer, endpoint: pool.entry.endpoint }
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
-    context.logLoss(operation, pool, reason)
+    context.logNoResponse(operation, pool, reason)
     return { kind: 'unanswered', reason, code: 'timeout' }
   }
 }
 
-function describeFailure ({ route }: Operation, target: string, last: Attempt | undefined): Outcome {
-  if (last?.kind === 'answered') return { answer: last.answer, endpoint: last.endpoint }
-  if (last?.kind === 'unanswered') return { refusal: { code: 'timeout', text: last.reason } }
-  if (last?.kind === 'notRun') return createRetryRefusal('busy', last.reason, RETRY_AFTER_MS)
+function createFailureOutcome ({ route }: Operation, target: string, lastResult: AttemptResult | undefined): Outcome {
+  if (lastResult?.kind === 'answered') return { answer: lastResult.answer, endpoint: lastResult.endpoint }
+  if (lastResult?.kind === 'unanswered') return { refusal: { code: 'timeout', text: lastResult.reason } }
+  if (lastResult?.kind === 'notRun') return createRetryRefusal('busy', lastResult.reason, RETRY_AFTER_MS)
   const reason = target === 'unproven' ? 'no endpoint is known to be fresh enough' : `no endpoint of ${route.service} is reachable`
   return createRetryRefusal(target === 'unproven' ? 'lagging' : 'busy', reason, RETRY_AFTER_MS)
 }
--- a/packages/gateway/src/statements/run-write.ts
+++ b/packages/gateway/src/statements/run-write.ts
@@ -7,12 +7,12 @@
 import type { StatementContext } from './statement-context.ts'
 
 /** When a write that found no free connection is worth repeating, in milliseconds. */
-const BUSY_RETRY_MS = 100
+const BUSY_RETRY_AFTER_MS = 100
 
-export type Acquired = { pool: EndpointPool, connection: PooledConnection } | { refusal: { code: 'busy', text: string } }
+export type AcquiredPrimary = { pool: EndpointPool, connection: PooledConnection } | { refusal: { code: 'busy', text: string } }
 
 /** Gets a connection to the primary, waiting shortly for one, and for a primary. */
-export async function acquirePrimary (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Acquired> {
+export async function acquirePrimaryConnection (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<AcquiredPrimary> {
   const { clock } = context
   const recoveryMs = context.estimateRecoveryMs(group)
   const waitMs = computeWaitMs(operation, clock.readNow())
@@ -21,9 +21,9 @@
   }
   const pool = group.primaryPool
   if (pool === undefined) return createRetryRefusal('busy', 'the service has no primary now', recoveryMs)
-  const { workspace, contents, route } = operation
+  const { workspace, requiredState, route } = operation
   try {
-    const connection = await pool.acquire({ workspace, session: contents.session, priority: route.priority, waitMs: computeWaitMs(operation, clock.readNow()) })
+    const connection = await pool.acquire({ workspace, session: requiredState.session, priority: route.priority, waitMs: computeWaitMs(operation, clock.readNow()) })
     if (!group.isWritable || group.primaryPool !== pool) {
       pool.release(connection, true)
       return createRetryRefusal('busy', 'the primary is being replaced', context.estimateRecoveryMs(group))
@@ -31,29 +31,29 @@
     return { pool, connection }
   } catch (error) {
     if (!(error instanceof PoolError)) throw error
-    return createRetryRefusal('busy', error.message, error.refusal === 'busy' ? BUSY_RETRY_MS : context.estimateRecoveryMs(group))
+    return createRetryRefusal('busy', error.message, error.refusal === 'busy' ? BUSY_RETRY_AFTER_MS : context.estimateRecoveryMs(group))
   }
 }
 
 /** Runs a single write. Once it is sent it is never repeated: without an answer its outcome is unknown. */
 export async function runWrite (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Outcome> {
-  const acquired = await acquirePrimary(context, group, operation)
+  const acquired = await acquirePrimaryConnection(context, group, operation)
   if ('refusal' in acquired) return acquired
   const { pool, connection } = acquired
-  const { contents, preparedName, statement } = operation
-  const restored = connection.restoreSession(contents, preparedName)
+  const { requiredState, preparedName, statement } = operation
+  const restoreResponses = connection.restoreSession(requiredState, preparedName)
   try {
     const timeLeftMs = computeTimeLeftMs(operation, context.clock.readNow())
     const answer = await group.runStatement(pool, true, timeLeftMs, async () => await connection.run(statement.id, statement.text, null))
-    await Promise.all(restored)
+    await Promise.all(restoreResponses)
     pool.release(connection, answer.state === 'idle')
-    context.logAttempt(operation, pool, null, answer)
-    if (answer.error?.code === 'readOnly') context.findPrimaryAgain(group)
+    context.logResponse(operation, pool, null, answer)
+    if (answer.error?.code === 'readOnly') context.refreshPrimary(group)
     return { answer, endpoint: pool.entry.endpoint }
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
-    context.logLoss(operation, pool, reason)
+    context.logNoResponse(operation, pool, reason)
     return { refusal: { code: 'inDoubt', text: reason } }
   }
 }
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -3,20 +3,20 @@
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
 import type { Operation } from './operation.ts'
-import type { Location } from './read-targets.ts'
+import type { VmLocation } from './read-targets.ts'
 
 /** What running statements needs of the rest of the VM. */
 export interface StatementContext {
   clock: Clock
-  location: Location
+  location: VmLocation
   /** Asks the group whether its primary still leads. */
   verifyLeadership: (group: ServiceGroup, waitMs: number) => Promise<void>
   /** Asks which endpoint leads, after one that was taken for the primary said that it does not. */
-  findPrimaryAgain: (group: ServiceGroup) => void
+  refreshPrimary: (group: ServiceGroup) => void
   /** Milliseconds until the group is likely to take writes again. */
   estimateRecoveryMs: (group: ServiceGroup) => number
   /** Time for an endpoint to roll back, in milliseconds, before the connection is closed instead. */
   rollbackTimeoutMs: number
-  logAttempt: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
-  logLoss: (operation: Operation, pool: EndpointPool, reason: string) => void
+  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
+  logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
