--- a/packages/gateway/src/statements/operation.ts
+++ b/packages/gateway/src/statements/operation.ts
@@ -4,41 +4,42 @@
 import type { Route } from '../configuration/configuration.ts'
 import type { RequiredSessionState } from '../pool/pooled-connection.ts'
 
-/** A statement to run on an endpoint, for whom and by when. */
+/** A statement to run on an endpoint, with its session, its workspace and the route that sets its limits. */
 export interface Operation {
   statement: ClientStatement
   requiredState: RequiredSessionState
-  /** Prepared statement that it executes. */
+  /** Name of the prepared statement that it executes; `null` when it executes none. */
   preparedName: string | null
   workspace: string
   route: Route
-  /** Last position that the session has written. */
+  /** Log position of the session's last write; `null` before the first. */
   sessionPosition: LogPosition | null
+  /** Time at which the statement was taken from the client's queue; its time limits count from here. */
   receivedAtMs: number
 }
 
-/** How a statement ended: the endpoint's answer, or why there is none. */
+/** How a statement ended: with an endpoint's response, or with a refusal when no response can be given. */
 export type Outcome = { answer: EndpointAnswer, endpoint: string } | { refusal: AnswerError }
 
-/** Part of an operation's objective for which it may wait before an endpoint is offered it. */
+/** Fraction of an operation's objective (`Route.objectiveMs`) for which it may wait before it is sent to an endpoint. */
 const MAX_WAIT_FRACTION = 0.25
 
-/** Milliseconds for which the operation may still wait before it is offered to an endpoint. */
+/** Computes how long the operation may still wait before it is sent to an endpoint, in milliseconds. */
 export function computeWaitMs ({ route, receivedAtMs }: Operation, nowMs: number): number {
   return Math.max(0, receivedAtMs + route.objectiveMs * MAX_WAIT_FRACTION - nowMs)
 }
 
-/** Milliseconds until the statement's time is over. */
+/** Computes the time until the statement's timeout, in milliseconds; at least 1. */
 export function computeTimeLeftMs ({ route, receivedAtMs }: Operation, nowMs: number): number {
   return Math.max(1, receivedAtMs + route.statementTimeoutMs - nowMs)
 }
 
-/** Age that the operation's reads may show, in milliseconds. */
+/** Returns how old the data may be that the operation reads, in milliseconds; 0 when its route reads from the primary only. */
 export function readMaxStalenessMs ({ route }: Operation): number {
   return route.consistency === 'primary' ? 0 : route.maxStalenessMs
 }
 
-/** A refusal that names the time to come back. */
+/** Creates a refusal whose text tells the client when to retry. */
 export function createRetryRefusal<C extends AnswerError['code']> (code: C, reason: string, retryAfterMs: number): { refusal: { code: C, text: string } } {
   return { refusal: { code, text: `${reason}; retry after ${Math.ceil(retryAfterMs)} ms` } }
 }
--- a/packages/gateway/src/statements/pinned-transaction.ts
+++ b/packages/gateway/src/statements/pinned-transaction.ts
@@ -11,9 +11,11 @@
 import { acquirePrimaryConnection } from './run-write.ts'
 import type { StatementContext } from './statement-context.ts'
 
-/** Tries of a statement inside a transaction whose endpoint was too busy; it goes before new work. */
+/** Maximum number of attempts of a transaction's statement while its endpoint is too busy; open transactions go before new work. */
 const MAX_BUSY_ATTEMPTS = 4
+/** Backoff after the first busy attempt, in milliseconds; it grows by the same amount with each attempt. */
 const BUSY_BACKOFF_MS = 25
+/** Retry time given to the client when its transaction was lost or could not be opened, in milliseconds. */
 const RETRY_AFTER_MS = 100
 
 export interface PinnedTransactionOptions {
@@ -25,7 +27,7 @@
 
 export type OpenedTransaction = { transaction: PinnedTransaction } | { refusal: { code: 'busy' | 'lagging' | 'readOnly' | 'aborted', text: string } }
 
-/** An open transaction and the one connection that runs it. */
+/** An open transaction, with the connection that runs all its statements. */
 export class PinnedTransaction {
   readonly pool: EndpointPool
   readonly #context: StatementContext
@@ -41,12 +43,15 @@
     this.#connection = connection
   }
 
-  /** Whether the endpoint still has the transaction, as far as is known. */
+  /** Whether the transaction has not ended and its connection is open. */
   get isOpen (): boolean {
     return !this.#isEnded && this.#connection.connection.isOpen
   }
 
-  /** Runs a read or write. After an error the transaction is rolled back at the endpoint, so that what the error promises holds. */
+  /**
+   * Runs a read or write. After an error the transaction is rolled back at the endpoint, because error codes such as
+   * `busy` and `aborted` promise the client that nothing of the operation is kept.
+   */
   async run (operation: Operation, isWrite: boolean): Promise<Outcome> {
     if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     if (isWrite) this.#hasWritten = true
@@ -63,7 +68,7 @@
     }
   }
 
-  /** Commits. Without an answer the outcome is unknown, unless nothing was written. */
+  /** Commits. Without a response the outcome is unknown (`inDoubt`), unless the transaction wrote nothing. */
   async commit (operation: Operation): Promise<Outcome> {
     if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     try {
@@ -80,7 +85,7 @@
     }
   }
 
-  /** Ends the transaction without keeping anything of it. */
+  /** Rolls the transaction back, and returns its connection to the pool once the endpoint has responded. */
   rollback (): void {
     if (this.#isEnded) return
     this.#isEnded = true
@@ -88,10 +93,11 @@
     if (!connection.isOpen) return this.pool.release(this.#connection, false)
     this.#group.runStatement(this.pool, false, this.#context.rollbackTimeoutMs, async () => await connection.rollback()).then(
       answer => this.pool.release(this.#connection, answer.state === 'idle'),
-      () => this.pool.release(this.#connection, false) // Closing it rolls back as well.
+      () => this.pool.release(this.#connection, false) // Closing the connection rolls back as well.
     )
   }
 
+  /** Runs a statement, and again after a backoff while the endpoint is too busy and the transaction is still open. */
   async #runWithRetries (operation: Operation, isWrite: boolean): Promise<EndpointAnswer> {
     const { clock } = this.#context
     const { statement, requiredState, preparedName } = operation
@@ -117,7 +123,10 @@
   }
 }
 
-/** Opens a transaction for its first statement: read-only ones where a read would go, others at the primary. */
+/**
+ * Opens a transaction for its first statement. A read-only transaction opens where a read would run and falls back
+ * to the primary; any other opens at the primary.
+ */
 export async function openTransaction (context: StatementContext, group: ServiceGroup, operation: Operation, isReadOnly: boolean): Promise<OpenedTransaction> {
   if (isReadOnly) {
     const openedAtReadTarget = await openAtReadTarget(context, group, operation)
--- a/packages/gateway/src/statements/read-targets.test.ts
+++ b/packages/gateway/src/statements/read-targets.test.ts
@@ -42,8 +42,8 @@
   return typeof target === 'string' ? target : target.pool.entry.endpoint
 }
 
-describe('targets of reads', () => {
-  it('leave a draining endpoint at once while others stay, also for a read that was tried there', () => {
+describe('read targets', () => {
+  it('selects no draining endpoint while others remain, even for a read that has tried all of these', () => {
     const clock = new VirtualClock()
     const group = createGroup(clock)
     group.updateEntry(createEntry('a', { isDraining: true }))
@@ -51,7 +51,7 @@
     expect(findTargetName(group, clock, ['b', 'p'])).to.equal('none')
   })
 
-  it('use draining endpoints for a while where none stays, and then no longer', () => {
+  it('selects draining endpoints for a limited time when all endpoints are draining', () => {
     const clock = new VirtualClock()
     const group = createGroup(clock)
     for (const e of ['p', 'a', 'b']) group.updateEntry(createEntry(e, { isDraining: true, role: e === 'p' ? 'primary' : 'replica' }))
@@ -61,14 +61,14 @@
     expect(findTargetName(group, clock)).to.equal('none')
   })
 
-  it('ask for the session\'s own position where it is later', () => {
+  it('requires the position of the session\'s last write when it is later than the group\'s', () => {
     const clock = new VirtualClock()
     const group = createGroup(clock)
     const target = findReadTarget(group, { ...operation, sessionPosition: { term: 1, index: 12 } }, new Set(), location, clock)
     expect(target).to.have.nested.property('atLeast.index', 12)
   })
 
-  it('send strict reads to the primary, and only while it is trusted', () => {
+  it('sends reads of the primary consistency level to the primary only while its leadership is verified', () => {
     const clock = new VirtualClock()
     const group = createGroup(clock)
     const strict = { ...operation, route: { ...operation.route, consistency: 'primary' as const } }
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -6,23 +6,28 @@
 import { selectEndpoint, type ReadCandidate } from '../routing/select-endpoint.ts'
 import { readMaxStalenessMs, type Operation } from './operation.ts'
 
-/** Where this VM stands, for distances. */
+/** Location of this VM, for the distances to endpoints. */
 export interface VmLocation {
   failureDomain: string
   /** Region of each failure domain. */
   regions: Readonly<Record<string, string>>
 }
 
-/** An endpoint for a read, and the position that its log must hold. */
+/** An endpoint for a read. */
 export interface ReadTarget {
   pool: EndpointPool
+  /** Position that the endpoint's log must hold to run the read; `null` when none is required. */
   atLeast: LogPosition | null
 }
 
 /**
- * Finds the endpoint for a read among those not tried yet.
+ * Finds the endpoint for a read among those that the read has not tried yet.
  *
- * @returns `unproven` when neither a position nor the primary is known to be fresh enough
+ * Any endpoint whose log holds the required position can run the read. When no required position is known, only the
+ * primary can, and only while its leadership is verified.
+ *
+ * @returns `unproven` when no required position is known and the primary's leadership is not verified for the allowed
+ *   staleness; `none` when no endpoint is left
  */
 export function findReadTarget (group: ServiceGroup, operation: Operation, triedEndpoints: ReadonlySet<string>, location: VmLocation, clock: Clock): ReadTarget | 'unproven' | 'none' {
   const nowMs = clock.readNow()
@@ -36,7 +41,7 @@
   return pool === undefined ? 'none' : { pool, atLeast }
 }
 
-/** Endpoints that stay, or, where none does, those that have drained only shortly. */
+/** Lists the endpoints that are not draining, or if all are, those that have been draining for less than `DRAINING_USE_MS`. */
 function listUsablePools (group: ServiceGroup, nowMs: number): EndpointPool[] {
   const pools = [...group.pools.values()]
   const notDraining = pools.filter(p => !p.entry.isDraining)
@@ -66,7 +71,7 @@
   }
 }
 
-/** 0 in the same failure domain, 1 in the same region, 2 elsewhere. */
+/** Returns 0 for the same failure domain, 1 for the same region and 2 otherwise. */
 export function measureDistance ({ failureDomain, regions }: VmLocation, otherDomain: string): 0 | 1 | 2 {
   if (failureDomain === otherDomain) return 0
   return regions[failureDomain] !== undefined && regions[failureDomain] === regions[otherDomain] ? 1 : 2
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -10,18 +10,18 @@
 import { findReadTarget, type ReadTarget } from './read-targets.ts'
 import type { StatementContext } from './statement-context.ts'
 
-/** A read left without an answer for this many times the usual is also sent elsewhere. */
+/** A read that is pending for this many times the average response time is also sent to another endpoint. */
 const HEDGE_DELAY_FACTOR = 4
-/** Bounds of the time before a read is also sent elsewhere, in milliseconds. */
+/** Bounds of the delay before a pending read is also sent to another endpoint, in milliseconds. */
 const MIN_HEDGE_DELAY_MS = 150
 const MAX_HEDGE_DELAY_MS = 450
-/** Endpoints that one read may go to. */
+/** Maximum number of attempts for one read, each on one endpoint. */
 const MAX_ATTEMPTS = 3
-/** An endpoint that was too busy for a read is passed over for this long, in milliseconds. */
+/** Time for which an endpoint that was too busy for a read is avoided, in milliseconds. */
 const BUSY_AVOID_MS = 100
-/** A replica whose log lacked a position is passed over for this long, in milliseconds. */
+/** Time for which a replica whose log lacked a required position counts as lagging, in milliseconds. */
 export const LAGGING_AVOID_MS = 250
-/** When a read that no endpoint can run now is worth repeating, in milliseconds. */
+/** Retry time given to the client when no endpoint can run its read, in milliseconds. */
 const RETRY_AFTER_MS = 200
 
 const retryBudgets = new WeakMap<ServiceGroup, RetryBudget>()
@@ -34,7 +34,14 @@
 
 type AttemptResult = { kind: 'answered', answer: EndpointAnswer, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
 
-/** Runs a read outside of a transaction; it may go to several endpoints, as it changes nothing. */
+/**
+ * Runs a read outside of a transaction.
+ *
+ * The read changes nothing, so it may run on several endpoints: after a failed attempt, and also while an endpoint
+ * is slow to respond, as far as the group's retry budget allows.
+ *
+ * @returns the first final answer, else the last error or a refusal
+ */
 export async function runRead (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Outcome> {
   const { clock } = context
   const triedEndpoints = new Set<string>()
@@ -47,7 +54,7 @@
     if (typeof target !== 'string') {
       triedEndpoints.add(target.pool.entry.endpoint)
       const nowMs = clock.readNow()
-      // A read that has been offered to an endpoint already may wait for as long as it has time.
+      // The waiting time limits only the first attempt. Later attempts may wait for a connection until the timeout.
       const waitMs = attemptCount === 1 ? computeWaitMs(operation, nowMs) : computeTimeLeftMs(operation, nowMs)
       pendingAttempts.add(startAttempt(context, group, operation, target, waitMs))
     } else if (pendingAttempts.size === 0) return createFailureOutcome(operation, target, lastResult)
@@ -79,7 +86,7 @@
   const target = findReadTarget(group, operation, triedEndpoints, context.location, context.clock)
   if (target !== 'none') return target
   const pool = group.primaryPool
-  // The primary shows every acknowledged write, also where a position it never acknowledged was asked for.
+  // The primary's log holds every acknowledged write, even when it lacks a required position that it never acknowledged.
   const isPrimaryUsable = pool !== undefined && group.isWritable && isPrimaryFresh(group.state, readMaxStalenessMs(operation), context.clock.readNow())
   return isPrimaryUsable ? { pool, atLeast: null } : 'none'
 }
@@ -101,7 +108,7 @@
   return Math.min(MAX_HEDGE_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, HEDGE_DELAY_FACTOR * (pool.health.averageResponseMs ?? 0)))
 }
 
-/** Waits for one of the attempts to end. @returns `undefined` when none did in time */
+/** Waits for one of the attempts to end and removes it from the set. @returns `undefined` when none ended within `waitMs` */
 async function waitForResult (pendingAttempts: Set<Promise<AttemptResult>>, waitMs: number): Promise<AttemptResult | undefined> {
   let timer: NodeJS.Timeout | undefined
   const expired = new Promise<undefined>(resolve => { timer = setTimeout(() => resolve(undefined), waitMs) })
--- a/packages/gateway/src/statements/run-write.ts
+++ b/packages/gateway/src/statements/run-write.ts
@@ -6,12 +6,16 @@
 import { computeTimeLeftMs, computeWaitMs, createRetryRefusal, type Operation, type Outcome } from './operation.ts'
 import type { StatementContext } from './statement-context.ts'
 
-/** When a write that found no free connection is worth repeating, in milliseconds. */
+/** Retry time given to the client when no connection to the primary is free, in milliseconds. */
 const BUSY_RETRY_AFTER_MS = 100
 
+/** A connection to the primary, or the refusal for the client. */
 export type AcquiredPrimary = { pool: EndpointPool, connection: PooledConnection } | { refusal: { code: 'busy', text: string } }
 
-/** Gets a connection to the primary, waiting shortly for one, and for a primary. */
+/**
+ * Acquires a connection to the primary. Waits for a primary, and for a free connection, for the operation's waiting
+ * time (`computeWaitMs`); it does not wait for a primary that is expected later than that.
+ */
 export async function acquirePrimaryConnection (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<AcquiredPrimary> {
   const { clock } = context
   const recoveryMs = context.estimateRecoveryMs(group)
@@ -35,7 +39,7 @@
   }
 }
 
-/** Runs a single write. Once it is sent it is never repeated: without an answer its outcome is unknown. */
+/** Runs a single write. Once sent, it is never sent again: without a response its outcome is unknown (`inDoubt`). */
 export async function runWrite (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Outcome> {
   const acquired = await acquirePrimaryConnection(context, group, operation)
   if ('refusal' in acquired) return acquired
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -5,18 +5,20 @@
 import type { Operation } from './operation.ts'
 import type { VmLocation } from './read-targets.ts'
 
-/** What running statements needs of the rest of the VM. */
+/** What the functions that run statements need from the other components of this VM. */
 export interface StatementContext {
   clock: Clock
   location: VmLocation
-  /** Asks the group whether its primary still leads. */
+  /** Verifies with the group's endpoints that the primary still leads. Returns when they were asked, or after `waitMs`. */
   verifyLeadership: (group: ServiceGroup, waitMs: number) => Promise<void>
-  /** Asks which endpoint leads, after one that was taken for the primary said that it does not. */
+  /** Looks for the current primary, after the endpoint that this VM took for the primary reported that it does not lead. */
   refreshPrimary: (group: ServiceGroup) => void
-  /** Milliseconds until the group is likely to take writes again. */
+  /** Estimates the time until the group accepts writes again, in milliseconds. */
   estimateRecoveryMs: (group: ServiceGroup) => number
-  /** Time for an endpoint to roll back, in milliseconds, before the connection is closed instead. */
+  /** Timeout of a rollback, in milliseconds. After it the connection is closed, which also rolls back. */
   rollbackTimeoutMs: number
+  /** Logs an endpoint's response to a statement, also when it is an error. */
   logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
+  /** Logs that an endpoint did not respond to a statement. */
   logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
