--- a/packages/gateway/src/sessions/client-session.test.ts
+++ b/packages/gateway/src/sessions/client-session.test.ts
@@ -31,7 +31,7 @@
     logger: createLogger({ process: 'test', level: 'silent' }),
     waitForConfiguration: async () => configuration,
     readConfiguration: () => configuration,
-    readTransactionIdleMs: () => 3_000,
+    readTransactionIdleTimeoutMs: () => 3_000,
     admitOperation: async (): Promise<AnswerError | null> => null,
     runRead: run,
     runWrite: run,
@@ -41,24 +41,24 @@
   }
 }
 
-const write: ClientStatement = { id: '7f', text: 'WRITE 1 x', type: 'write' }
-const passTurn = async (): Promise<void> => await new Promise(resolve => setImmediate(resolve))
+const writeStatement: ClientStatement = { id: '7f', text: 'WRITE 1 x', type: 'write' }
+const waitForEventLoopTurn = async (): Promise<void> => await new Promise(resolve => setImmediate(resolve))
 
 describe('client session', () => {
   it('runs nothing that arrives after it was closed', async () => {
-    const ran: string[] = []
+    const executedIds: string[] = []
     const transport = new RecordingTransport()
     const session = new ClientSession('s', createHost(async operation => {
-      ran.push(operation.statement.id)
+      executedIds.push(operation.statement.id)
       return { refusal: { code: 'busy', text: '' } }
     }), transport)
     session.handleStartup('orders', 'k')
-    await passTurn()
+    await waitForEventLoopTurn()
     session.closeWhenIdle()
     expect(transport.isClosed).to.equal(true)
-    session.handleStatement(write)
-    await passTurn()
-    expect(ran).to.deep.equal([])
+    session.handleStatement(writeStatement)
+    await waitForEventLoopTurn()
+    expect(executedIds).to.deep.equal([])
   })
 
   it('answers a running statement before it closes', async () => {
@@ -66,13 +66,13 @@
     const transport = new RecordingTransport()
     const session = new ClientSession('s', createHost(async () => await new Promise(resolve => { finish = resolve })), transport)
     session.handleStartup('orders', 'k')
-    await passTurn()
-    session.handleStatement(write)
-    await passTurn()
+    await waitForEventLoopTurn()
+    session.handleStatement(writeStatement)
+    await waitForEventLoopTurn()
     session.closeWhenIdle()
     expect(transport.isClosed).to.equal(false)
     finish({ answer: { rows: [], signature: 'x', error: null, state: 'idle', position: null }, endpoint: 'e' })
-    await passTurn()
+    await waitForEventLoopTurn()
     expect(transport.answers).to.have.length(1)
     expect(transport.isClosed).to.equal(true)
   })
--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -9,80 +9,80 @@
 import type { SessionHost } from './session-host.ts'
 
 /** Statements that a client may send ahead of their answers. */
-const MOST_QUEUED = 256
+const MAX_QUEUED_STATEMENTS = 256
 
 /** One client connection: runs its statements one by one and holds what they leave behind. */
 export class ClientSession implements ClientEvents {
   readonly id: string
   readonly #host: SessionHost
   readonly #transport: ClientTransport
-  readonly #state = createSessionState()
+  readonly #sessionState = createSessionState()
   readonly #queue: Array<ClientStatement | { malformed: string }> = []
   #database = ''
   #key = ''
   #workspace: string | null = null
-  #position: LogPosition | null = null
+  #lastWritePosition: LogPosition | null = null
   #route: Route | null = null
   #transaction: PinnedTransaction | null = null
   /** Why the open transaction is lost, to be told with its next statement. */
-  #lostReason: string | null = null
-  #idleTimer: NodeJS.Timeout | undefined
-  #isRunning = false
+  #transactionLossReason: string | null = null
+  #transactionIdleTimer: NodeJS.Timeout | undefined
+  #isStatementRunning = false
   #isClosed = false
-  #mustClose = false
-  #lastActiveMs: number
+  #isCloseRequested = false
+  #lastActiveAtMs: number
 
   constructor (id: string, host: SessionHost, transport: ClientTransport) {
     this.id = id
     this.#host = host
     this.#transport = transport
-    this.#lastActiveMs = host.clock.readNow()
+    this.#lastActiveAtMs = host.clock.readNow()
   }
 
   handleStartup = (database: string, key: string): void => {
     if (this.#workspace !== null) return this.#transport.close()
     this.#database = database
     this.#key = key
-    this.#host.waitForConfiguration().then(configuration => this.#admit(configuration), (error: unknown) => {
+    this.#host.waitForConfiguration().then(configuration => this.#admitSession(configuration), (error: unknown) => {
       this.#host.logger.error('session not admitted', { session: this.id, error: String(error) })
       this.#transport.close()
     })
   }
 
   handleStatement = (statement: ClientStatement): void => {
-    this.#addStatement(statement)
+    this.#enqueueStatement(statement)
   }
 
   handleMalformed = (reason: string): void => {
-    this.#addStatement({ malformed: reason })
+    this.#enqueueStatement({ malformed: reason })
   }
 
   handleClose = (): void => {
     this.#isClosed = true
-    clearTimeout(this.#idleTimer)
+    clearTimeout(this.#transactionIdleTimer)
     this.#queue.length = 0
-    if (!this.#isRunning) this.#transaction?.rollback()
+    if (!this.#isStatementRunning) this.#transaction?.rollback()
     this.#host.removeSession(this)
   }
 
   get isBusy (): boolean {
-    return this.#isRunning || this.#queue.length > 0 || this.#state.transaction !== 'idle'
+    return this.#isStatementRunning || this.#queue.length > 0 || this.#sessionState.transaction !== 'idle'
   }
 
   get idleMs (): number {
-    return this.#host.clock.readNow() - this.#lastActiveMs
+    return this.#host.clock.readNow() - this.#lastActiveAtMs
   }
 
   /** Closes the session now if nothing is under way, else after the statement or transaction that is. */
   closeWhenIdle (): void {
-    this.#mustClose = true
+    this.#isCloseRequested = true
     if (!this.isBusy) this.#close()
   }
 
   /** Ends an open transaction that no statement is running in; its client learns of it with the next one. */
   endTransaction (reason: string): void {
-    if (this.#isRunning || this.#state.transaction === 'idle' || this.#lostReason !== null) return
-    clearTimeout(this.#idleTimer)
+    if (this.#isStatementRunning || this.#sessionState.transaction === 'idle' || this.#transactionLossReason !== null) return
+    clearTimeout(this.#transactionIdleTimer)
     this.#abandonTransaction(reason)
   }
 
@@ -92,7 +92,7 @@
     if ('error' in authenticate(configuration, this.#database, this.#key)) this.#close()
   }
 
-  #admit (configuration: Configuration | null): void {
+  #admitSession (configuration: Configuration | null): void {
     if (this.#isClosed) return
     const admission = configuration === null ? { error: { code: 'busy' as const, text: 'no configuration yet; retry after 1000 ms' } } : authenticate(configuration, this.#database, this.#key)
     if ('error' in admission) {
@@ -102,24 +102,24 @@
     }
     this.#workspace = admission.workspace
     this.#transport.sendWelcome()
-    this.#runNext()
+    this.#runNextStatement()
   }
 
-  #addStatement (item: ClientStatement | { malformed: string }): void {
+  #enqueueStatement (queued: ClientStatement | { malformed: string }): void {
     if (this.#isClosed) return
-    if (this.#queue.length >= MOST_QUEUED) return this.#close()
-    this.#queue.push(item)
-    if (this.#workspace !== null) this.#runNext()
+    if (this.#queue.length >= MAX_QUEUED_STATEMENTS) return this.#close()
+    this.#queue.push(queued)
+    if (this.#workspace !== null) this.#runNextStatement()
   }
 
-  #runNext (): void {
-    if (this.#isRunning) return
-    const item = this.#queue.shift()
-    if (item === undefined) return
-    this.#isRunning = true
-    clearTimeout(this.#idleTimer)
-    this.#lastActiveMs = this.#host.clock.readNow()
-    const running = 'malformed' in item ? this.#answer({ error: { code: 'malformed', text: item.malformed }, state: this.#state.transaction }) : this.#run(item)
+  #runNextStatement (): void {
+    if (this.#isStatementRunning) return
+    const queued = this.#queue.shift()
+    if (queued === undefined) return
+    this.#isStatementRunning = true
+    clearTimeout(this.#transactionIdleTimer)
+    this.#lastActiveAtMs = this.#host.clock.readNow()
+    const running = 'malformed' in queued ? this.#sendAnswer({ error: { code: 'malformed', text: queued.malformed }, state: this.#sessionState.transaction }) : this.#admitAndRun(queued)
     Promise.resolve(running).catch((error: unknown) => {
       this.#host.logger.error('statement failed', { session: this.id, error: error instanceof Error ? error.stack : String(error) })
       this.#close()
@@ -127,26 +127,26 @@
   }
 
   #finishStatement (): void {
-    this.#isRunning = false
-    this.#lastActiveMs = this.#host.clock.readNow()
+    this.#isStatementRunning = false
+    this.#lastActiveAtMs = this.#host.clock.readNow()
     if (this.#isClosed) return this.#transaction?.rollback()
-    if (this.#queue.length > 0) return this.#runNext()
-    if (this.#mustClose && this.#state.transaction === 'idle') return this.#close()
-    if (this.#transaction !== null) this.#idleTimer = setTimeout(() => this.#abandonTransaction('the transaction was idle for too long'), this.#host.readTransactionIdleMs())
+    if (this.#queue.length > 0) return this.#runNextStatement()
+    if (this.#isCloseRequested && this.#sessionState.transaction === 'idle') return this.#close()
+    if (this.#transaction !== null) this.#transactionIdleTimer = setTimeout(() => this.#abandonTransaction('the transaction was idle for too long'), this.#host.readTransactionIdleTimeoutMs())
   }
 
   #abandonTransaction (reason: string): void {
     this.#host.logger.info('transaction ended', { session: this.id, workspace: this.#workspace, reason })
     this.#transaction?.rollback()
     this.#transaction = null
-    this.#lostReason = reason
+    this.#transactionLossReason = reason
   }
 
-  async #run (statement: ClientStatement): Promise<void> {
-    const refusal = this.#state.transaction === 'idle' ? await this.#admitOperation(statement) : null
+  async #admitAndRun (statement: ClientStatement): Promise<void> {
+    const refusal = this.#sessionState.transaction === 'idle' ? await this.#admitOperation(statement) : null
     if (this.#isClosed) return
-    if (refusal !== null) return this.#answer({ error: refusal, state: 'idle' })
-    const plan = decideStatement(this.#state, statement)
+    if (refusal !== null) return this.#sendAnswer({ error: refusal, state: 'idle' })
+    const plan = decideStatement(this.#sessionState, statement)
     await this.#runPlan(statement, plan)
   }
 
@@ -166,21 +166,21 @@
   }
 
   async #runPlan (statement: ClientStatement, plan: StatementPlan): Promise<void> {
-    const state = this.#state
+    const state = this.#sessionState
     switch (plan.type) {
-      case 'answer': return this.#answer({ error: plan.error, state: state.transaction })
+      case 'answer': return this.#sendAnswer({ error: plan.error, state: state.transaction })
       case 'begin':
-        this.#lostReason = null
-        return this.#answer({ state: 'open' })
+        this.#transactionLossReason = null
+        return this.#sendAnswer({ state: 'open' })
       case 'rollback':
         this.#transaction?.rollback()
         this.#transaction = null
         state.transaction = 'idle'
-        return this.#answer({ state: 'idle' })
+        return this.#sendAnswer({ state: 'idle' })
       case 'endFailed':
         state.transaction = 'idle'
-        return this.#answer({ error: plan.isCommit ? { code: 'aborted', text: 'the transaction had failed' } : null, state: 'idle' })
-      case 'commit': return await this.#commit(statement)
+        return this.#sendAnswer({ error: plan.isCommit ? { code: 'aborted', text: 'the transaction had failed' } : null, state: 'idle' })
+      case 'commit': return await this.#commitTransaction(statement)
       case 'run': return state.transaction === 'idle' ? await this.#runSingle(statement, plan) : await this.#runInTransaction(statement, plan)
     }
   }
@@ -188,67 +188,67 @@
   async #runSingle (statement: ClientStatement, plan: { isWrite: boolean, preparedName: string | null }): Promise<void> {
     const operation = this.#createOperation(statement, plan.preparedName)
     const outcome = plan.isWrite ? await this.#host.runWrite(operation) : await this.#host.runRead(operation)
-    this.#answerOutcome(operation, outcome, 'idle', plan.isWrite)
+    this.#sendOutcome(operation, outcome, 'idle', plan.isWrite)
   }
 
   async #runInTransaction (statement: ClientStatement, plan: { isWrite: boolean, preparedName: string | null }): Promise<void> {
     const operation = this.#createOperation(statement, plan.preparedName)
-    const transaction = await this.#findTransaction(operation)
-    if ('refusal' in transaction) return this.#finishFailed(operation, transaction)
+    const transaction = await this.#ensureTransaction(operation)
+    if ('refusal' in transaction) return this.#finishFailedTransaction(operation, transaction)
     const outcome = await transaction.run(operation, plan.isWrite)
-    if ('refusal' in outcome || outcome.answer.error !== null) return this.#finishFailed(operation, outcome)
-    this.#answerOutcome(operation, outcome, 'open', false)
+    if ('refusal' in outcome || outcome.answer.error !== null) return this.#finishFailedTransaction(operation, outcome)
+    this.#sendOutcome(operation, outcome, 'open', false)
   }
 
-  async #findTransaction (operation: Operation): Promise<PinnedTransaction | { refusal: AnswerError }> {
-    if (this.#lostReason !== null) return { refusal: { code: 'aborted', text: this.#lostReason } }
+  async #ensureTransaction (operation: Operation): Promise<PinnedTransaction | { refusal: AnswerError }> {
+    if (this.#transactionLossReason !== null) return { refusal: { code: 'aborted', text: this.#transactionLossReason } }
     if (this.#transaction !== null) return this.#transaction
-    const opened = await this.#host.openTransaction(operation, this.#state.isReadOnly)
+    const opened = await this.#host.openTransaction(operation, this.#sessionState.isReadOnly)
     if ('refusal' in opened) return opened
     this.#transaction = opened.transaction
     return opened.transaction
   }
 
-  #finishFailed (operation: Operation, outcome: Outcome): void {
+  #finishFailedTransaction (operation: Operation, outcome: Outcome): void {
     this.#transaction?.rollback()
     this.#transaction = null
-    this.#state.transaction = 'failed'
-    this.#answerOutcome(operation, outcome, 'failed', false)
+    this.#sessionState.transaction = 'failed'
+    this.#sendOutcome(operation, outcome, 'failed', false)
   }
 
-  async #commit (statement: ClientStatement): Promise<void> {
+  async #commitTransaction (statement: ClientStatement): Promise<void> {
     const operation = this.#createOperation(statement, null)
-    const transaction = await this.#findTransaction(operation)
+    const transaction = await this.#ensureTransaction(operation)
     const outcome = 'refusal' in transaction ? transaction : await transaction.commit(operation)
     this.#transaction = null
-    this.#lostReason = null
-    this.#state.transaction = 'idle'
-    this.#answerOutcome(operation, outcome, 'idle', true)
+    this.#transactionLossReason = null
+    this.#sessionState.transaction = 'idle'
+    this.#sendOutcome(operation, outcome, 'idle', true)
   }
 
   #createOperation (statement: ClientStatement, preparedName: string | null): Operation {
-    const { values, prepared } = this.#state
+    const { sessionValues, preparedStatements } = this.#sessionState
     if (this.#route === null || this.#workspace === null) throw new Error('statement outside of an admitted session')
     return {
       statement,
-      requiredState: { session: this.id, sessionValues: values, preparedStatements: prepared },
+      requiredState: { session: this.id, sessionValues, preparedStatements },
       preparedName,
       workspace: this.#workspace,
       route: this.#route,
-      sessionPosition: this.#position,
-      receivedAtMs: this.#lastActiveMs
+      sessionPosition: this.#lastWritePosition,
+      receivedAtMs: this.#lastActiveAtMs
     }
   }
 
-  #answerOutcome (operation: Operation, outcome: Outcome, state: ClientAnswer['state'], isCommit: boolean): void {
+  #sendOutcome (operation: Operation, outcome: Outcome, state: ClientAnswer['state'], isCommit: boolean): void {
     this.#host.recordOutcome(operation, outcome)
-    if ('refusal' in outcome) return this.#answer({ error: outcome.refusal, state })
+    if ('refusal' in outcome) return this.#sendAnswer({ error: outcome.refusal, state })
     const { rows, signature, error, position } = outcome.answer
-    if (isCommit && error === null && position !== null) this.#position = pickLaterPosition(this.#position, position)
-    this.#answer({ rows, signature, error, state, position })
+    if (isCommit && error === null && position !== null) this.#lastWritePosition = pickLaterPosition(this.#lastWritePosition, position)
+    this.#sendAnswer({ rows, signature, error, state, position })
   }
 
-  #answer (answer: ClientAnswer): void {
+  #sendAnswer (answer: ClientAnswer): void {
     if (!this.#isClosed) this.#transport.sendAnswer(answer)
   }
 
--- a/packages/gateway/src/sessions/decide-statement.test.ts
+++ b/packages/gateway/src/sessions/decide-statement.test.ts
@@ -2,43 +2,43 @@
 import type { ClientStatement } from '../backend/statement.ts'
 import { createSessionState, decideStatement } from './decide-statement.ts'
 
-type Body = ClientStatement extends infer S ? S extends ClientStatement ? Omit<S, 'id' | 'text'> : never : never
-const make = (body: Body): ClientStatement => ({ id: '1', text: '', ...body }) as ClientStatement
+type StatementBody = ClientStatement extends infer S ? S extends ClientStatement ? Omit<S, 'id' | 'text'> : never : never
+const createStatement = (body: StatementBody): ClientStatement => ({ id: '1', text: '', ...body }) as ClientStatement
 
 describe('statements of a session', () => {
   it('answers what only the session needs to know, and remembers it', () => {
     const state = createSessionState()
-    expect(decideStatement(state, make({ type: 'setValue', name: 'zone', value: 'oslo' }))).to.deep.equal({ type: 'answer', error: null })
-    expect(decideStatement(state, make({ type: 'prepare', name: 'q', mode: 'write', shape: 'x' }))).to.deep.equal({ type: 'answer', error: null })
-    expect(state.values.get('zone')).to.equal('oslo')
-    expect(decideStatement(state, make({ type: 'execute', name: 'q' }))).to.deep.equal({ type: 'run', isWrite: true, preparedName: 'q' })
-    decideStatement(state, make({ type: 'closeStatement', name: 'q' }))
-    expect(decideStatement(state, make({ type: 'execute', name: 'q' }))).to.deep.include({ type: 'answer' })
+    expect(decideStatement(state, createStatement({ type: 'setValue', name: 'zone', value: 'oslo' }))).to.deep.equal({ type: 'answer', error: null })
+    expect(decideStatement(state, createStatement({ type: 'prepare', name: 'q', mode: 'write', shape: 'x' }))).to.deep.equal({ type: 'answer', error: null })
+    expect(state.sessionValues.get('zone')).to.equal('oslo')
+    expect(decideStatement(state, createStatement({ type: 'execute', name: 'q' }))).to.deep.equal({ type: 'run', isWrite: true, preparedName: 'q' })
+    decideStatement(state, createStatement({ type: 'closeStatement', name: 'q' }))
+    expect(decideStatement(state, createStatement({ type: 'execute', name: 'q' }))).to.deep.include({ type: 'answer' })
   })
 
   it('runs writes of a read-only transaction nowhere', () => {
     const state = createSessionState()
-    expect(decideStatement(state, make({ type: 'begin', isReadOnly: true }))).to.deep.equal({ type: 'begin' })
-    expect(decideStatement(state, make({ type: 'read' }))).to.deep.equal({ type: 'run', isWrite: false, preparedName: null })
-    expect(decideStatement(state, make({ type: 'write' }))).to.have.nested.property('error.code', 'readOnly')
+    expect(decideStatement(state, createStatement({ type: 'begin', isReadOnly: true }))).to.deep.equal({ type: 'begin' })
+    expect(decideStatement(state, createStatement({ type: 'read' }))).to.deep.equal({ type: 'run', isWrite: false, preparedName: null })
+    expect(decideStatement(state, createStatement({ type: 'write' }))).to.have.nested.property('error.code', 'readOnly')
   })
 
   it('takes nothing but an end in a failed transaction', () => {
     const state = createSessionState()
-    decideStatement(state, make({ type: 'begin', isReadOnly: false }))
+    decideStatement(state, createStatement({ type: 'begin', isReadOnly: false }))
     state.transaction = 'failed'
     for (const type of ['read', 'write', 'begin', 'setValue'] as const) {
-      expect(decideStatement(state, make({ type, isReadOnly: false, name: 'a', value: 'b' } as Body))).to.have.nested.property('error.code', 'malformed')
+      expect(decideStatement(state, createStatement({ type, isReadOnly: false, name: 'a', value: 'b' } as StatementBody))).to.have.nested.property('error.code', 'malformed')
     }
-    expect(state.values.size).to.equal(0)
-    expect(decideStatement(state, make({ type: 'commit' }))).to.deep.equal({ type: 'endFailed', isCommit: true })
-    expect(decideStatement(state, make({ type: 'rollback' }))).to.deep.equal({ type: 'endFailed', isCommit: false })
+    expect(state.sessionValues.size).to.equal(0)
+    expect(decideStatement(state, createStatement({ type: 'commit' }))).to.deep.equal({ type: 'endFailed', isCommit: true })
+    expect(decideStatement(state, createStatement({ type: 'rollback' }))).to.deep.equal({ type: 'endFailed', isCommit: false })
   })
 
   it('refuses to end what was not begun, and to begin twice', () => {
     const state = createSessionState()
-    expect(decideStatement(state, make({ type: 'commit' }))).to.have.nested.property('error.code', 'malformed')
-    decideStatement(state, make({ type: 'begin', isReadOnly: false }))
-    expect(decideStatement(state, make({ type: 'begin', isReadOnly: false }))).to.have.nested.property('error.code', 'malformed')
+    expect(decideStatement(state, createStatement({ type: 'commit' }))).to.have.nested.property('error.code', 'malformed')
+    decideStatement(state, createStatement({ type: 'begin', isReadOnly: false }))
+    expect(decideStatement(state, createStatement({ type: 'begin', isReadOnly: false }))).to.have.nested.property('error.code', 'malformed')
   })
 })
--- a/packages/gateway/src/sessions/decide-statement.ts
+++ b/packages/gateway/src/sessions/decide-statement.ts
@@ -6,8 +6,8 @@
   transaction: TransactionState
   /** Whether the open transaction only reads. */
   isReadOnly: boolean
-  values: Map<string, string>
-  prepared: Map<string, PreparedStatement>
+  sessionValues: Map<string, string>
+  preparedStatements: Map<string, PreparedStatement>
 }
 
 /** What a statement asks for. */
@@ -22,10 +22,10 @@
   | { type: 'endFailed', isCommit: boolean }
 
 export function createSessionState (): SessionState {
-  return { transaction: 'idle', isReadOnly: false, values: new Map(), prepared: new Map() }
+  return { transaction: 'idle', isReadOnly: false, sessionValues: new Map(), preparedStatements: new Map() }
 }
 
-function answerError (code: AnswerError['code'], text: string): StatementPlan {
+function createErrorPlan (code: AnswerError['code'], text: string): StatementPlan {
   return { type: 'answer', error: { code, text } }
 }
 
@@ -35,11 +35,11 @@
  * @example decideStatement(createSessionState(), { id: '1', text: 'READ 1a4', type: 'read' }) // { type: 'run', isWrite: false, preparedName: null }
  */
 export function decideStatement (state: SessionState, statement: ClientStatement): StatementPlan {
-  if (state.transaction === 'failed') return decideInFailed(statement)
+  if (state.transaction === 'failed') return decideInFailedTransaction(statement)
   switch (statement.type) {
     case 'begin': return decideBegin(state, statement.isReadOnly)
     case 'commit':
-    case 'rollback': return state.transaction === 'idle' ? answerError('malformed', 'no transaction is open') : { type: statement.type }
+    case 'rollback': return state.transaction === 'idle' ? createErrorPlan('malformed', 'no transaction is open') : { type: statement.type }
     case 'read': return { type: 'run', isWrite: false, preparedName: null }
     case 'write': return decideWrite(state, null)
     case 'execute': return decideExecute(state, statement.name)
@@ -47,32 +47,32 @@
   }
 }
 
-function decideInFailed (statement: ClientStatement): StatementPlan {
+function decideInFailedTransaction (statement: ClientStatement): StatementPlan {
   if (statement.type === 'commit' || statement.type === 'rollback') return { type: 'endFailed', isCommit: statement.type === 'commit' }
-  return answerError('malformed', 'the transaction has failed')
+  return createErrorPlan('malformed', 'the transaction has failed')
 }
 
 function decideBegin (state: SessionState, isReadOnly: boolean): StatementPlan {
-  if (state.transaction !== 'idle') return answerError('malformed', 'a transaction is open already')
+  if (state.transaction !== 'idle') return createErrorPlan('malformed', 'a transaction is open already')
   state.transaction = 'open'
   state.isReadOnly = isReadOnly
   return { type: 'begin' }
 }
 
 function decideWrite (state: SessionState, preparedName: string | null): StatementPlan {
-  if (state.transaction === 'open' && state.isReadOnly) return answerError('readOnly', 'the transaction only reads')
+  if (state.transaction === 'open' && state.isReadOnly) return createErrorPlan('readOnly', 'the transaction only reads')
   return { type: 'run', isWrite: true, preparedName }
 }
 
 function decideExecute (state: SessionState, name: string): StatementPlan {
-  const prepared = state.prepared.get(name)
-  if (prepared === undefined) return answerError('noStatement', `no prepared statement ${name}`)
+  const prepared = state.preparedStatements.get(name)
+  if (prepared === undefined) return createErrorPlan('noStatement', `no prepared statement ${name}`)
   return prepared.mode === 'write' ? decideWrite(state, name) : { type: 'run', isWrite: false, preparedName: name }
 }
 
 function applySessionStatement (state: SessionState, statement: ClientStatement): StatementPlan {
-  if (statement.type === 'setValue') state.values.set(statement.name, statement.value)
-  else if (statement.type === 'prepare') state.prepared.set(statement.name, { mode: statement.mode, shape: statement.shape })
-  else if (statement.type === 'closeStatement') state.prepared.delete(statement.name)
+  if (statement.type === 'setValue') state.sessionValues.set(statement.name, statement.value)
+  else if (statement.type === 'prepare') state.preparedStatements.set(statement.name, { mode: statement.mode, shape: statement.shape })
+  else if (statement.type === 'closeStatement') state.preparedStatements.delete(statement.name)
   return { type: 'answer', error: null }
 }
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -19,10 +19,10 @@
 import type { SessionHost } from './session-host.ts'
 
 /** A client gives its session up when it is not accepted in two seconds. */
-const FIRST_CONFIGURATION_WAIT_MS = 1_500
+const FIRST_CONFIGURATION_TIMEOUT_MS = 1_500
 const ROLLBACK_TIMEOUT_MS = 1_000
-const DEFAULT_TRANSACTION_IDLE_MS = 3_000
-const NO_ENDPOINTS_RETRY_MS = 1_000
+const DEFAULT_TRANSACTION_IDLE_TIMEOUT_MS = 3_000
+const NO_ENDPOINTS_RETRY_AFTER_MS = 1_000
 const MS_PER_SECOND = 1_000
 
 export interface GatewaySessionHostOptions {
@@ -53,11 +53,11 @@
     this.#context = this.#createContext()
   }
 
-  waitForConfiguration = async (): Promise<Configuration | null> => await this.#options.configuration.waitFirst(FIRST_CONFIGURATION_WAIT_MS)
+  waitForConfiguration = async (): Promise<Configuration | null> => await this.#options.configuration.waitFirst(FIRST_CONFIGURATION_TIMEOUT_MS)
 
   readConfiguration = (): Configuration | null => this.#options.configuration.current
 
-  readTransactionIdleMs = (): number => this.#options.configuration.current?.transactionIdleMs ?? DEFAULT_TRANSACTION_IDLE_MS
+  readTransactionIdleTimeoutMs = (): number => this.#options.configuration.current?.transactionIdleMs ?? DEFAULT_TRANSACTION_IDLE_TIMEOUT_MS
 
   admitOperation = async (id: string, workspace: string): Promise<AnswerError | null> => {
     const { quotas, permits, metrics } = this.#options
@@ -109,7 +109,7 @@
   }
 
   #refuseWithoutGroup ({ route }: Operation): { refusal: { code: 'busy', text: string } } {
-    return createRetryRefusal('busy', `no endpoint of ${route.service} is registered`, NO_ENDPOINTS_RETRY_MS)
+    return createRetryRefusal('busy', `no endpoint of ${route.service} is registered`, NO_ENDPOINTS_RETRY_AFTER_MS)
   }
 
   #createContext (): StatementContext {
--- a/packages/gateway/src/sessions/session-host.ts
+++ b/packages/gateway/src/sessions/session-host.ts
@@ -12,7 +12,7 @@
   /** Waits for the first configuration; `null` when none came in time. */
   waitForConfiguration: () => Promise<Configuration | null>
   readConfiguration: () => Configuration | null
-  readTransactionIdleMs: () => number
+  readTransactionIdleTimeoutMs: () => number
   /** Counts an operation against its workspace's quota. @returns why it is refused, or `null` */
   admitOperation: (id: string, workspace: string) => Promise<AnswerError | null>
   runRead: (operation: Operation) => Promise<Outcome>
