--- a/packages/gateway/src/sessions/authenticate.ts
+++ b/packages/gateway/src/sessions/authenticate.ts
@@ -1,13 +1,14 @@
 import type { AnswerError } from '../backend/statement.ts'
 import type { Configuration, Route } from '../configuration/configuration.ts'
 
-/** Name under which statements on public routes run for clients without a key. */
+/** Workspace name for clients without a known key, whose statements run on public routes only. */
 export const ANONYMOUS_WORKSPACE = '-'
 
+/** The route and workspace of a client, or the error that refuses it. */
 export type Admission = { route: Route, workspace: string } | { error: AnswerError }
 
 /**
- * Finds the route of a database and the workspace of a key, as one version of the configuration has them.
+ * Finds the route of a database and the workspace of a key in one version of the configuration.
  *
  * @example authenticate(configuration, 'orders', 'u3f1') // { route, workspace: 'lab' }
  */
--- a/packages/gateway/src/sessions/client-session.test.ts
+++ b/packages/gateway/src/sessions/client-session.test.ts
@@ -45,7 +45,7 @@
 const waitForEventLoopTurn = async (): Promise<void> => await new Promise(resolve => setImmediate(resolve))
 
 describe('client session', () => {
-  it('runs nothing that arrives after it was closed', async () => {
+  it('does not run a statement that arrives after the session was closed', async () => {
     const executedIds: string[] = []
     const transport = new RecordingTransport()
     const session = new ClientSession('s', createHost(async operation => {
@@ -61,7 +61,7 @@
     expect(executedIds).to.deep.equal([])
   })
 
-  it('answers a running statement before it closes', async () => {
+  it('sends the response to a running statement before it closes', async () => {
     let finish: (outcome: Outcome) => void = () => {}
     const transport = new RecordingTransport()
     const session = new ClientSession('s', createHost(async () => await new Promise(resolve => { finish = resolve })), transport)
--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -8,10 +8,10 @@
 import { createSessionState, decideStatement, type StatementPlan } from './decide-statement.ts'
 import type { SessionHost } from './session-host.ts'
 
-/** Statements that a client may send ahead of their answers. */
+/** Maximum number of statements that a client may send ahead of their responses. */
 const MAX_QUEUED_STATEMENTS = 256
 
-/** One client connection: runs its statements one by one and holds what they leave behind. */
+/** The session of one client connection. Runs its statements one at a time and holds its transaction and session state. */
 export class ClientSession implements ClientEvents {
   readonly id: string
   readonly #host: SessionHost
@@ -24,7 +24,7 @@
   #lastWritePosition: LogPosition | null = null
   #route: Route | null = null
   #transaction: PinnedTransaction | null = null
-  /** Why the open transaction is lost, to be told with its next statement. */
+  /** Why the open transaction was lost; the client is told with its next statement. `null` when none was lost. */
   #transactionLossReason: string | null = null
   #transactionIdleTimer: NodeJS.Timeout | undefined
   #isStatementRunning = false
@@ -44,7 +44,7 @@
     this.#database = database
     this.#key = key
     this.#host.waitForConfiguration().then(configuration => this.#admitSession(configuration), (error: unknown) => {
-      this.#host.logger.error('session not admitted', { session: this.id, error: String(error) })
+      this.#host.logger.error('session admission failed', { session: this.id, error: String(error) })
       this.#transport.close()
     })
   }
@@ -65,28 +65,30 @@
     this.#host.removeSession(this)
   }
 
+  /** Whether a statement is running or queued, or a transaction is open. */
   get isBusy (): boolean {
     return this.#isStatementRunning || this.#queue.length > 0 || this.#sessionState.transaction !== 'idle'
   }
 
+  /** Time since the last statement began or ended, in milliseconds. */
   get idleMs (): number {
     return this.#host.clock.readNow() - this.#lastActiveAtMs
   }
 
-  /** Closes the session now if nothing is under way, else after the statement or transaction that is. */
+  /** Closes the session now if it is idle, else once its queued statements and its transaction have ended. */
   closeWhenIdle (): void {
     this.#isCloseRequested = true
     if (!this.isBusy) this.#close()
   }
 
-  /** Ends an open transaction that no statement is running in; its client learns of it with the next one. */
+  /** Rolls back an open transaction unless one of its statements is running. The client gets `reason` with its next statement. */
   endTransaction (reason: string): void {
     if (this.#isStatementRunning || this.#sessionState.transaction === 'idle' || this.#transactionLossReason !== null) return
     clearTimeout(this.#transactionIdleTimer)
     this.#abandonTransaction(reason)
   }
 
-  /** Takes in a new configuration: a session whose key is gone ends, an open transaction does not. */
+  /** Applies a new configuration: closes the session when its key or database is no longer valid, unless the session is busy. */
   applyConfiguration (configuration: Configuration): void {
     if (this.#workspace === null || this.isBusy) return
     if ('error' in authenticate(configuration, this.#database, this.#key)) this.#close()
@@ -121,7 +123,7 @@
     this.#lastActiveAtMs = this.#host.clock.readNow()
     const running = 'malformed' in queued ? this.#sendAnswer({ error: { code: 'malformed', text: queued.malformed }, state: this.#sessionState.transaction }) : this.#admitAndRun(queued)
     Promise.resolve(running).catch((error: unknown) => {
-      this.#host.logger.error('statement failed', { session: this.id, error: error instanceof Error ? error.stack : String(error) })
+      this.#host.logger.error('statement processing failed', { session: this.id, error: error instanceof Error ? error.stack : String(error) })
       this.#close()
     }).finally(() => this.#finishStatement())
   }
@@ -136,7 +138,7 @@
   }
 
   #abandonTransaction (reason: string): void {
-    this.#host.logger.info('transaction ended', { session: this.id, workspace: this.#workspace, reason })
+    this.#host.logger.info('transaction ended by gateway', { session: this.id, workspace: this.#workspace, reason })
     this.#transaction?.rollback()
     this.#transaction = null
     this.#transactionLossReason = reason
@@ -150,14 +152,14 @@
     await this.#runPlan(statement, plan)
   }
 
-  /** Checks key, route and quota where an operation begins. */
+  /** Checks key, route and quota at the start of an operation: a transaction or a single statement. */
   async #admitOperation (statement: ClientStatement): Promise<AnswerError | null> {
     const configuration = this.#host.readConfiguration()
     if (configuration === null) return { code: 'busy', text: 'no configuration yet; retry after 1000 ms' }
     const admission = authenticate(configuration, this.#database, this.#key)
     if ('error' in admission || admission.workspace !== this.#workspace) {
       const error: AnswerError = 'error' in admission ? admission.error : { code: 'noAuth', text: 'the key belongs to another workspace now' }
-      this.#host.logger.info('operation refused', { id: statement.id, session: this.id, version: configuration.version, ...error })
+      this.#host.logger.info('operation refused because its key or database is not valid', { id: statement.id, session: this.id, version: configuration.version, ...error })
       return error
     }
     this.#route = admission.route
@@ -200,6 +202,7 @@
     this.#sendOutcome(operation, outcome, 'open', false)
   }
 
+  /** Returns the open transaction, opening it at an endpoint for its first statement. */
   async #ensureTransaction (operation: Operation): Promise<PinnedTransaction | { refusal: AnswerError }> {
     if (this.#transactionLossReason !== null) return { refusal: { code: 'aborted', text: this.#transactionLossReason } }
     if (this.#transaction !== null) return this.#transaction
@@ -228,7 +231,7 @@
 
   #createOperation (statement: ClientStatement, preparedName: string | null): Operation {
     const { sessionValues, preparedStatements } = this.#sessionState
-    if (this.#route === null || this.#workspace === null) throw new Error('statement outside of an admitted session')
+    if (this.#route === null || this.#workspace === null) throw new Error('cannot create an operation: the session has no workspace or route yet')
     return {
       statement,
       requiredState: { session: this.id, sessionValues, preparedStatements },
@@ -252,7 +255,7 @@
     if (!this.#isClosed) this.#transport.sendAnswer(answer)
   }
 
-  /** Nothing that arrives after this is run: its client would get no answer. */
+  /** Closes the session. Statements that arrive later are not run, because their client would get no response. */
   #close (): void {
     this.#isClosed = true
     this.#queue.length = 0
--- a/packages/gateway/src/sessions/decide-statement.test.ts
+++ b/packages/gateway/src/sessions/decide-statement.test.ts
@@ -5,8 +5,8 @@
 type StatementBody = ClientStatement extends infer S ? S extends ClientStatement ? Omit<S, 'id' | 'text'> : never : never
 const createStatement = (body: StatementBody): ClientStatement => ({ id: '1', text: '', ...body }) as ClientStatement
 
-describe('statements of a session', () => {
-  it('answers what only the session needs to know, and remembers it', () => {
+describe('statement decisions of a session', () => {
+  it('responds to session values and prepared statements without an endpoint, and keeps them in the state', () => {
     const state = createSessionState()
     expect(decideStatement(state, createStatement({ type: 'setValue', name: 'zone', value: 'oslo' }))).to.deep.equal({ type: 'answer', error: null })
     expect(decideStatement(state, createStatement({ type: 'prepare', name: 'q', mode: 'write', shape: 'x' }))).to.deep.equal({ type: 'answer', error: null })
@@ -16,14 +16,14 @@
     expect(decideStatement(state, createStatement({ type: 'execute', name: 'q' }))).to.deep.include({ type: 'answer' })
   })
 
-  it('runs writes of a read-only transaction nowhere', () => {
+  it('refuses a write in a read-only transaction', () => {
     const state = createSessionState()
     expect(decideStatement(state, createStatement({ type: 'begin', isReadOnly: true }))).to.deep.equal({ type: 'begin' })
     expect(decideStatement(state, createStatement({ type: 'read' }))).to.deep.equal({ type: 'run', isWrite: false, preparedName: null })
     expect(decideStatement(state, createStatement({ type: 'write' }))).to.have.nested.property('error.code', 'readOnly')
   })
 
-  it('takes nothing but an end in a failed transaction', () => {
+  it('accepts only a commit or rollback in a failed transaction', () => {
     const state = createSessionState()
     decideStatement(state, createStatement({ type: 'begin', isReadOnly: false }))
     state.transaction = 'failed'
@@ -35,7 +35,7 @@
     expect(decideStatement(state, createStatement({ type: 'rollback' }))).to.deep.equal({ type: 'endFailed', isCommit: false })
   })
 
-  it('refuses to end what was not begun, and to begin twice', () => {
+  it('refuses a commit without a transaction, and a second begin', () => {
     const state = createSessionState()
     expect(decideStatement(state, createStatement({ type: 'commit' }))).to.have.nested.property('error.code', 'malformed')
     decideStatement(state, createStatement({ type: 'begin', isReadOnly: false }))
--- a/packages/gateway/src/sessions/decide-statement.ts
+++ b/packages/gateway/src/sessions/decide-statement.ts
@@ -1,7 +1,7 @@
 import type { AnswerError, ClientStatement, TransactionState } from '../backend/statement.ts'
 import type { PreparedStatement } from '../pool/pooled-connection.ts'
 
-/** What a session holds for its client. */
+/** State that a session keeps for its client between statements. */
 export interface SessionState {
   transaction: TransactionState
   /** Whether the open transaction only reads. */
@@ -10,15 +10,16 @@
   preparedStatements: Map<string, PreparedStatement>
 }
 
-/** What a statement asks for. */
+/** What the session does with a statement. */
 export type StatementPlan =
+  /** The session responds without an endpoint. */
   | { type: 'answer', error: AnswerError | null }
-  /** Answered now; an endpoint hears of it with the first statement. */
+  /** The session responds at once; the transaction is opened at an endpoint with its first statement. */
   | { type: 'begin' }
   | { type: 'run', isWrite: boolean, preparedName: string | null }
   | { type: 'commit' }
   | { type: 'rollback' }
-  /** The transaction has failed: ending it, however asked for, keeps nothing. */
+  /** Ends a failed transaction, of which nothing is kept, whether the client commits or rolls back. */
   | { type: 'endFailed', isCommit: boolean }
 
 export function createSessionState (): SessionState {
@@ -30,7 +31,8 @@
 }
 
 /**
- * Decides what to do with a statement, and takes session values and prepared statements into the state.
+ * Decides what to do with a statement. Updates `state` when it begins a transaction, sets a session value, or prepares
+ * or closes a prepared statement.
  *
  * @example decideStatement(createSessionState(), { id: '1', text: 'READ 1a4', type: 'read' }) // { type: 'run', isWrite: false, preparedName: null }
  */
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -18,10 +18,13 @@
 import type { ClientSession } from './client-session.ts'
 import type { SessionHost } from './session-host.ts'
 
-/** A client gives its session up when it is not accepted in two seconds. */
+/** Timeout of the wait for the first configuration. Clients give up when their session is not accepted within two seconds. */
 const FIRST_CONFIGURATION_TIMEOUT_MS = 1_500
+/** A connection whose rollback takes longer is closed, which also rolls back. */
 const ROLLBACK_TIMEOUT_MS = 1_000
+/** Applies before the first configuration has arrived. */
 const DEFAULT_TRANSACTION_IDLE_TIMEOUT_MS = 3_000
+/** Retry time given to the client when its service has no registered endpoints. */
 const NO_ENDPOINTS_RETRY_AFTER_MS = 1_000
 const MS_PER_SECOND = 1_000
 
@@ -39,7 +42,7 @@
   removeSession: (session: ClientSession) => void
 }
 
-/** Connects client sessions to the slices of the VM. */
+/** Connects client sessions to the slices of this VM: configuration, quotas, groups and metrics. */
 export class GatewaySessionHost implements SessionHost {
   readonly clock: Clock
   readonly logger: Logger
@@ -66,7 +69,7 @@
     if (verdict.isUncounted === true) return this.#refuseUncounted(id, workspace, verdict.retryAfterMs)
     metrics.quotaRefusals.inc({ workspace })
     const { refusal } = createRetryRefusal('tooMany', 'over the workspace\'s rate', verdict.retryAfterMs)
-    this.logger.info('operation over its quota', { id, workspace, retryAfterMs: verdict.retryAfterMs })
+    this.logger.info('operation refused because its workspace exceeded its rate', { id, workspace, retryAfterMs: verdict.retryAfterMs })
     return refusal
   }
 
@@ -89,18 +92,18 @@
     const { metrics } = this.#options
     const { route: { service }, statement, workspace, requiredState, receivedAtMs } = operation
     const error = 'refusal' in outcome ? outcome.refusal : outcome.answer.error
-    const tookMs = this.clock.readNow() - receivedAtMs
-    metrics.statementSeconds.observe({ service, outcome: error === null ? 'answered' : 'error' }, tookMs / MS_PER_SECOND)
+    const elapsedMs = this.clock.readNow() - receivedAtMs
+    metrics.statementSeconds.observe({ service, outcome: error === null ? 'answered' : 'error' }, elapsedMs / MS_PER_SECOND)
     if (error === null) return
     metrics.refusals.inc({ service, code: error.code })
-    this.logger.warn('statement not served', { id: statement.id, type: statement.type, session: requiredState.session, workspace, service, tookMs: Math.round(tookMs), ...error })
+    this.logger.warn('statement ended with an error', { id: statement.id, type: statement.type, session: requiredState.session, workspace, service, elapsedMs: Math.round(elapsedMs), ...error })
   }
 
   removeSession = (session: ClientSession): void => this.#options.removeSession(session)
 
   #refuseUncounted (id: string, workspace: string, retryAfterMs: number): AnswerError {
     this.#options.metrics.uncountedRefusals.inc()
-    this.logger.warn('operation not counted', { id, workspace, retryAfterMs })
+    this.logger.warn('operation refused because no counting VM responded', { id, workspace, retryAfterMs })
     return createRetryRefusal('busy', 'no vm that counts the workspace\'s rate answers', retryAfterMs).refusal
   }
 
@@ -119,12 +122,12 @@
       location: { failureDomain, regions },
       rollbackTimeoutMs: ROLLBACK_TIMEOUT_MS,
       verifyLeadership: async (group, waitMs) => await questions.verifyLeadership(group, waitMs),
-      refreshPrimary: group => { questions.findPrimary(group).catch((error: unknown) => logger.error('primary not looked for', { error: String(error) })) },
+      refreshPrimary: group => { questions.findPrimary(group).catch((error: unknown) => logger.error('primary lookup failed', { error: String(error) })) },
       estimateRecoveryMs: group => failover.estimateRecoveryMs(group),
       logResponse: (operation, pool, atLeast, answer) => {
         const { statement, workspace, route, requiredState } = operation
         const { entry, health } = pool
-        logger.info('statement placed', {
+        logger.info('endpoint responded to statement', {
           id: statement.id,
           type: statement.type,
           session: requiredState.session,
@@ -132,15 +135,15 @@
           route: route.name,
           endpoint: entry.endpoint,
           role: entry.role,
-          atLeast,
+          requiredPosition: atLeast,
           position: answer.position,
           inFlight: health.inFlight,
-          averageMs: Math.round(health.averageResponseMs ?? 0),
-          tookMs: Math.round(clock.readNow() - operation.receivedAtMs),
+          averageResponseMs: Math.round(health.averageResponseMs ?? 0),
+          elapsedMs: Math.round(clock.readNow() - operation.receivedAtMs),
           outcome: answer.error?.code ?? 'answered'
         })
       },
-      logNoResponse: (operation, pool, reason) => logger.warn('statement not answered', { id: operation.statement.id, type: operation.statement.type, endpoint: pool.entry.endpoint, reason, silenceMs: pool.health.unansweredSinceMs === null ? 0 : Math.round(clock.readNow() - pool.health.unansweredSinceMs) })
+      logNoResponse: (operation, pool, reason) => logger.warn('endpoint did not respond to statement', { id: operation.statement.id, type: operation.statement.type, endpoint: pool.entry.endpoint, reason, unansweredMs: pool.health.unansweredSinceMs === null ? 0 : Math.round(clock.readNow() - pool.health.unansweredSinceMs) })
     }
   }
 }
--- a/packages/gateway/src/sessions/session-host.ts
+++ b/packages/gateway/src/sessions/session-host.ts
@@ -5,19 +5,23 @@
 import type { OpenedTransaction } from '../statements/pinned-transaction.ts'
 import type { ClientSession } from './client-session.ts'
 
-/** What a client session asks of the rest of the VM. */
+/** What a client session needs from the other components of this VM. */
 export interface SessionHost {
   clock: Clock
   logger: Logger
-  /** Waits for the first configuration; `null` when none came in time. */
+  /** Waits for the first configuration; `null` when none arrived in time. */
   waitForConfiguration: () => Promise<Configuration | null>
+  /** Returns the current configuration; `null` before the first. */
   readConfiguration: () => Configuration | null
+  /** Returns the time after which an idle transaction is rolled back, in milliseconds. */
   readTransactionIdleTimeoutMs: () => number
-  /** Counts an operation against its workspace's quota. @returns why it is refused, or `null` */
+  /** Counts an operation against its workspace's quota. @returns the error that refuses the operation, or `null` when it is admitted */
   admitOperation: (id: string, workspace: string) => Promise<AnswerError | null>
   runRead: (operation: Operation) => Promise<Outcome>
   runWrite: (operation: Operation) => Promise<Outcome>
   openTransaction: (operation: Operation, isReadOnly: boolean) => Promise<OpenedTransaction>
+  /** Records how an operation ended, in metrics and, for errors, in the log. */
   recordOutcome: (operation: Operation, outcome: Outcome) => void
+  /** Removes a closed session from the VM's list of sessions. */
   removeSession: (session: ClientSession) => void
 }
