--- a/packages/gateway/src/backend/errors.ts
+++ b/packages/gateway/src/backend/errors.ts
@@ -1,14 +1,18 @@
 import { BaseError } from '@camphorpitch/wire'
 import type { ErrorCode } from './statement.ts'
 
+/** Base of the errors that concern a connection to an endpoint. */
 export const EndpointError = BaseError.subclass('EndpointError')
 
-/** The connection ended or never opened: what was sent on it may have run. */
+/**
+ * The connection ended or never opened. A statement sent on it may have run. `isRefused` tells that the connection
+ * attempt was refused.
+ */
 export const ConnectionLostError = EndpointError.subclass('ConnectionLostError', {
   props: { isRefused: false }
 })
 
-/** The endpoint answered the connection attempt with an error. */
+/** The endpoint responded to the connection attempt with the error `code`. */
 export const EndpointRefusedError = EndpointError.subclass('EndpointRefusedError', {
   props: { code: 'failed' as ErrorCode }
 })
--- a/packages/gateway/src/backend/promoter.ts
+++ b/packages/gateway/src/backend/promoter.ts
@@ -1,17 +1,18 @@
-/** One order to change a service's primary. */
+/** Order to make an endpoint the primary of its service. */
 export interface PromotionOrder {
   service: string
   endpoint: string
-  /** VM that holds the failover duty. */
+  /** VM that holds the duty of failing over the service. */
   holder: string
-  /** Grows with each change of holder; never used again by another one. */
+  /** Increases with each change of the holder; no other holder uses the same value again. */
   fencingToken: number
 }
 
+/** Result of an order; `unknown` when no response came in time. */
 export type PromotionResult = 'accepted' | 'refused' | 'busy' | 'unknown'
 
-/** Whoever makes an endpoint the primary of its service. */
+/** Interface to the component that makes an endpoint the primary of its service. */
 export abstract class Promoter {
-  /** `unknown` when no answer came in time: the order may still take effect. */
+  /** Sends an order. After `unknown`, when no response came within `timeoutMs`, the order may still take effect. */
   abstract promote (order: PromotionOrder, timeoutMs: number): Promise<PromotionResult>
 }
--- a/packages/gateway/src/backend/statement.ts
+++ b/packages/gateway/src/backend/statement.ts
@@ -1,10 +1,10 @@
-/** What a prepared statement does when it is executed. */
+/** Whether a prepared statement reads or writes when it is executed. */
 export type StatementMode = 'read' | 'write'
 
 /**
- * One statement of a client, decoded.
+ * One decoded statement of a client.
  *
- * `text` is the statement as the client sent it. Reads, writes and commits are forwarded with it unchanged.
+ * `text` is the statement as the client sent it. Reads, writes and commits are forwarded to an endpoint with this text unchanged.
  */
 export type ClientStatement = { id: string, text: string } & (
   | { type: 'begin', isReadOnly: boolean }
@@ -18,14 +18,15 @@
   | { type: 'closeStatement', name: string }
 )
 
-/** Where a connection stands after an answer. */
+/** State of a connection's transaction after a response: none is open, one is open, or one has failed and must be ended. */
 export type TransactionState = 'idle' | 'open' | 'failed'
 
-/** Reasons for an error answer. The first six promise that nothing of the operation is kept. */
+/** Error codes of responses. The first six promise that nothing of the operation is kept. */
 export const errorCodes = [
   'busy', 'aborted', 'lagging', 'readOnly', 'misrouted', 'tooMany',
   'failed', 'noStatement', 'timeout', 'noAuth', 'noDatabase', 'tooLarge', 'malformed', 'inDoubt'
 ] as const
 export type ErrorCode = typeof errorCodes[number]
 
+/** An error sent to a client or received from an endpoint; `text` describes it for people. */
 export interface AnswerError { code: ErrorCode, text: string }
--- a/packages/gateway/src/runtime/wait-at-most.ts
+++ b/packages/gateway/src/runtime/wait-at-most.ts
@@ -1,5 +1,6 @@
 /**
- * Waits for a promise for `waitMs` at most, then rejects with what `createError` makes. The promise itself goes on.
+ * Waits for a promise, for at most `waitMs`. After that it rejects with the error that `createError` returns. The
+ * operation behind the promise is not cancelled.
  *
  * @example await waitAtMost(answer, 400, () => new ConnectionLostError('no answer within 400 ms'))
  */
@@ -12,10 +13,11 @@
     return await Promise.race([promise, expired])
   } finally {
     clearTimeout(timer)
-    promise.catch(() => {}) // After the time it was reported already.
+    promise.catch(() => {}) // A rejection after the timeout is ignored, as the caller already has the timeout error.
   }
 }
 
+/** Waits for `ms` milliseconds. */
 export async function waitFor (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
