--- a/packages/gateway/src/pool/connection-plan.ts
+++ b/packages/gateway/src/pool/connection-plan.ts
@@ -44,7 +44,7 @@
  * connection limit, the least recently used idle connection is closed first to make room. Requests are ordered by
  * priority, then by how few connections their workspace has in use, then by the time of the request.
  *
- * @param canOpen whether connections may be opened now; `false` during the backoff after a failed attempt
+ * @param canOpen whether connections may be opened now; `false` during the backoff after a failed attempt, for example
  * @returns the steps in the order in which they must be carried out
  */
 export function planConnections (slots: readonly ConnectionSlot[], requests: readonly ConnectionRequest[], limits: ConnectionLimits, canOpen: boolean, nowMs: number): PlannedStep[] {
--- a/packages/gateway/src/pool/endpoint-pool.ts
+++ b/packages/gateway/src/pool/endpoint-pool.ts
@@ -125,7 +125,7 @@
     this.#schedulePlan(EXCESS_IDLE_TIMEOUT_MS)
   }
 
-  /** Plans and carries out the next steps. Called on every change, and by timers when a backoff or idle timeout ends. */
+  /** Plans and carries out the next steps. Called on every change, when a backoff or idle timeout ends, and periodically. */
   runPlan (): void {
     const { clock, readLimits } = this.#options
     const nowMs = clock.readNow()
--- a/packages/gateway/src/statements/pinned-transaction.ts
+++ b/packages/gateway/src/statements/pinned-transaction.ts
@@ -25,6 +25,7 @@
   connection: PooledConnection
 }
 
+/** The transaction opened for a client, or the refusal for the client. */
 export type OpenedTransaction = { transaction: PinnedTransaction } | { refusal: { code: 'busy' | 'lagging' | 'readOnly' | 'aborted', text: string } }
 
 /** An open transaction, with the connection that runs all its statements. */
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -24,6 +24,7 @@
 /** Retry time given to the client when no endpoint can run its read, in milliseconds. */
 const RETRY_AFTER_MS = 200
 
+/** Retry budget of each group, shared by its reads. */
 const retryBudgets = new WeakMap<ServiceGroup, RetryBudget>()
 
 function ensureRetryBudget (group: ServiceGroup): RetryBudget {
@@ -32,6 +33,7 @@
   return budget
 }
 
+/** Result of one attempt: a response, or `notRun` when no statement was sent, or `unanswered` when no response came. */
 type AttemptResult = { kind: 'answered', answer: EndpointAnswer, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
 
 /**
