--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -3,20 +3,22 @@
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
 import type { Operation } from './operation.ts'
-import type { Location } from './read-targets.ts'
+import type { VmLocation } from './read-targets.ts'
 
-/** What running statements needs of the rest of the VM. */
+/** What the functions that run statements need from the other components of this VM. */
 export interface StatementContext {
   clock: Clock
-  location: Location
-  /** Asks the group whether its primary still leads. */
+  location: VmLocation
+  /** Verifies with the group's endpoints that the primary still leads. Returns when they were asked, or after `waitMs`. */
   verifyLeadership: (group: ServiceGroup, waitMs: number) => Promise<void>
-  /** Asks which endpoint leads, after one that was taken for the primary said that it does not. */
-  findPrimaryAgain: (group: ServiceGroup) => void
-  /** Milliseconds until the group is likely to take writes again. */
+  /** Looks for the current primary, after the endpoint that this VM took for the primary reported that it does not lead. */
+  refreshPrimary: (group: ServiceGroup) => void
+  /** Estimates the time until the group accepts writes again, in milliseconds. */
   estimateRecoveryMs: (group: ServiceGroup) => number
-  /** Time for an endpoint to roll back, in milliseconds, before the connection is closed instead. */
+  /** Timeout of a rollback, in milliseconds. After it the connection is closed, which also rolls back. */
   rollbackTimeoutMs: number
-  logAttempt: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
-  logLoss: (operation: Operation, pool: EndpointPool, reason: string) => void
+  /** Logs an endpoint's response to a statement, also when it is an error. */
+  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
+  /** Logs that an endpoint did not respond to a statement. */
+  logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
