--- a/packages/proxy/src/failover/control-connection.ts
+++ b/packages/proxy/src/failover/control-connection.ts
@@ -22,9 +22,9 @@
 }
 
 const DEFAULT_CONNECT_TIMEOUT_MS = 1_000
-const REFUSED_CODE = 'ECONNREFUSED'
+const CONNECTION_REFUSED_CODE = 'ECONNREFUSED'
 
-interface ServerError extends Error {
+interface MysqlError extends Error {
   errno?: number
   code?: string
   sqlState?: string
@@ -32,34 +32,34 @@
 
 /** @example const connection = createControlConnection({ endpoint, user: 'camphorpitch', password: '' }) */
 export function createControlConnection (options: ControlConnectionOptions): ControlConnection {
-  let open: Connection | null = null
-  const drop = (connection: Connection): void => {
-    if (open === connection) open = null
+  let currentConnection: Connection | null = null
+  const discardConnection = (connection: Connection): void => {
+    if (currentConnection === connection) currentConnection = null
     connection.destroy()
   }
   return {
     query: async (sql, timeoutMs) => {
-      open ??= openConnection(options, drop)
-      const connection = open
-      const timer = setTimeout(() => { drop(connection) }, timeoutMs)
+      currentConnection ??= openConnection(options, discardConnection)
+      const connection = currentConnection
+      const timer = setTimeout(() => { discardConnection(connection) }, timeoutMs)
       try {
         return await runQuery(connection, sql)
       } catch (error) {
-        throw convertError(error as ServerError, options.endpoint.endpoint, () => { drop(connection) })
+        throw convertError(error as MysqlError, options.endpoint.endpoint, () => { discardConnection(connection) })
       } finally {
         clearTimeout(timer)
       }
     },
     stop: () => {
-      if (open !== null) drop(open)
+      if (currentConnection !== null) discardConnection(currentConnection)
     }
   }
 }
 
-function openConnection (options: ControlConnectionOptions, drop: (connection: Connection) => void): Connection {
+function openConnection (options: ControlConnectionOptions, discardConnection: (connection: Connection) => void): Connection {
   const { endpoint, user, password, connectTimeoutMs = DEFAULT_CONNECT_TIMEOUT_MS } = options
   const connection = mysql.createConnection({ host: endpoint.host, port: endpoint.port, user, password, connectTimeout: connectTimeoutMs })
-  connection.on('error', () => { drop(connection) })
+  connection.on('error', () => { discardConnection(connection) })
   return connection
 }
 
@@ -77,10 +77,10 @@
   })
 }
 
-function convertError (cause: ServerError, endpoint: string, drop: () => void): Error {
+function convertError (cause: MysqlError, endpoint: string, discardConnection: () => void): Error {
   if (cause.sqlState !== undefined && cause.errno !== undefined) {
     return new InstanceRefusalError(`${endpoint}: ${cause.message}`, { cause, props: { errno: cause.errno } })
   }
-  drop()
-  return new InstanceUnreachableError(`${endpoint}: no answer`, { cause, props: { refused: cause.code === REFUSED_CODE } })
+  discardConnection()
+  return new InstanceUnreachableError(`${endpoint}: no answer`, { cause, props: { refused: cause.code === CONNECTION_REFUSED_CODE } })
 }
--- a/packages/proxy/src/failover/decide-failover.ts
+++ b/packages/proxy/src/failover/decide-failover.ts
@@ -1,6 +1,6 @@
 import type { InstanceStatus, Step } from '@camphorpitch/wire'
-import { handleElectionFailure, handleGrant, startElection } from './election.ts'
-import { countReachable, findReachablePrimary, findUsablePrimary, isHeardByReplica, isOlder, isPrimaryExpected, isPrimaryLeaving, isReachable, isReplicationLost, listProbed, readHighestTerm } from './health.ts'
+import { handleElectionFailure, handleFenceGrant, startElection } from './election.ts'
+import { countReachableInstances, findReachablePrimary, findUsablePrimary, hasRecentReplicaContact, hasElapsed, isPrimaryConfirmationPending, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances, findHighestTerm } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import { listFollowEffects } from './repair.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
@@ -23,23 +23,23 @@
   if (instance === undefined) return []
   switch (message.type) {
     case 'probeSent':
-      instance.silentSinceMs ??= nowMs
+      instance.unresponsiveSinceMs ??= nowMs
       return []
     case 'probeAnswered': return handleStatus(state, instance, message.sentAtMs, message.status, nowMs)
     case 'probeFailed':
-      instance.silentSinceMs ??= message.sentAtMs
-      instance.refusedSinceMs = message.refused ? instance.refusedSinceMs ?? message.sentAtMs : null
+      instance.unresponsiveSinceMs ??= message.sentAtMs
+      instance.connectionRefusedSinceMs = message.refused ? instance.connectionRefusedSinceMs ?? message.sentAtMs : null
       return []
-    case 'fenceGranted': return handleGrant(state, instance, message)
+    case 'fenceGranted': return handleFenceGrant(state, instance, message)
     case 'fenceRefused': return handleElectionFailure(state, message.promoter, `${message.endpoint} refused the term`, nowMs)
-    case 'promoteAnswered': return handlePromoted(state, instance, message, nowMs)
+    case 'promoteAnswered': return handlePromotion(state, instance, message, nowMs)
     case 'promoteFailed': return handleElectionFailure(state, message.promoter, `${message.endpoint} was not promoted`, nowMs)
   }
 }
 
 function handleStatus (state: FailoverState, instance: ProbedInstance, sentAtMs: number, status: InstanceStatus, nowMs: number): FailoverEffect[] {
-  instance.silentSinceMs = null
-  instance.refusedSinceMs = null
+  instance.unresponsiveSinceMs = null
+  instance.connectionRefusedSinceMs = null
   if (sentAtMs < instance.probedAtMs && instance.status !== null) return []
   instance.status = status
   instance.probedAtMs = sentAtMs
@@ -47,49 +47,49 @@
 }
 
 function handleTick (state: FailoverState, rank: number, nowMs: number): FailoverEffect[] {
-  const gapMs = nowMs - state.lastTickMs
-  state.lastTickMs = nowMs
+  const sinceLastTickMs = nowMs - state.lastTickAtMs
+  state.lastTickAtMs = nowMs
   state.rank = rank
-  if (gapMs > state.timings.pauseGapMs) resetSilence(state, nowMs)
+  if (sinceLastTickMs > state.timings.processPauseThresholdMs) resetUnresponsiveTimes(state, nowMs)
   const effects = updateOutage(state, nowMs)
-  const expired = state.election !== null && isOlder(state.election.startedAtMs, state.timings.electionTimeoutMs, nowMs)
-  if (expired) effects.push(...handleElectionFailure(state, state.election!.promoter, 'timeout', nowMs))
+  const isExpired = state.election !== null && hasElapsed(state.election.startedAtMs, state.timings.electionTimeoutMs, nowMs)
+  if (isExpired) effects.push(...handleElectionFailure(state, state.election!.promoter, 'timeout', nowMs))
   const reason = findElectionReason(state, nowMs)
   if (reason !== null) effects.push(...startElection(state, reason, nowMs))
   return effects
 }
 
 /** After a pause of this process, answers may wait unread: nobody else's silence counts. */
-function resetSilence (state: FailoverState, nowMs: number): void {
-  for (const i of listProbed(state)) {
-    if (i.silentSinceMs !== null) i.silentSinceMs = nowMs
-    if (i.refusedSinceMs !== null) i.refusedSinceMs = nowMs
+function resetUnresponsiveTimes (state: FailoverState, nowMs: number): void {
+  for (const i of listProbedInstances(state)) {
+    if (i.unresponsiveSinceMs !== null) i.unresponsiveSinceMs = nowMs
+    if (i.connectionRefusedSinceMs !== null) i.connectionRefusedSinceMs = nowMs
   }
   if (state.outage !== null) state.outage.sinceMs = nowMs
 }
 
 function updateOutage (state: FailoverState, nowMs: number): FailoverEffect[] {
-  const reason = describeOutage(state, nowMs)
-  const before = state.outage
+  const reason = findOutageReason(state, nowMs)
+  const previousOutage = state.outage
   if (reason === null) {
     state.outage = null
-    if (before === null) return []
+    if (previousOutage === null) return []
     const primary = findReachablePrimary(state, nowMs)
-    return [{ type: 'log', stage: 'recovered', fields: { primary: primary?.endpoint.endpoint, afterMs: Math.round(nowMs - before.sinceMs) } }, { type: 'changed' }]
+    return [{ type: 'log', stage: 'recovered', fields: { primary: primary?.endpoint.endpoint, outageDurationMs: Math.round(nowMs - previousOutage.sinceMs) } }, { type: 'changed' }]
   }
-  if (before !== null) {
-    before.reason = reason
+  if (previousOutage !== null) {
+    previousOutage.reason = reason
     return []
   }
   state.outage = { sinceMs: nowMs, reason }
-  return [{ type: 'log', stage: 'primaryLost', fields: { reason, term: readHighestTerm(state) } }, { type: 'changed' }]
+  return [{ type: 'log', stage: 'primaryLost', fields: { reason, term: findHighestTerm(state) } }, { type: 'changed' }]
 }
 
-function describeOutage (state: FailoverState, nowMs: number): string | null {
+function findOutageReason (state: FailoverState, nowMs: number): string | null {
   const primary = findUsablePrimary(state)
   if (primary === undefined) return 'no primary'
   if (!isReachable(state, primary, nowMs)) return 'primary unreachable'
-  if (primary.status!.term < readHighestTerm(state)) return 'newer term without a primary'
+  if (primary.status!.term < findHighestTerm(state)) return 'newer term without a primary'
   if (isReplicationLost(state, primary.status!, nowMs)) return 'primary cut off from its replicas'
   return isPrimaryLeaving(state, primary, nowMs) ? 'primary leaving' : null
 }
@@ -98,30 +98,30 @@
 function findElectionReason (state: FailoverState, nowMs: number): string | null {
   const { outage, timings } = state
   if (outage === null || !canStartElection(state, nowMs)) return null
-  const waitedMs = nowMs - outage.sinceMs - state.rank * timings.rankDelayMs
+  const waitedMs = nowMs - outage.sinceMs - state.rank * timings.delayPerRankMs
   if (waitedMs < 0) return null
-  const highestTerm = readHighestTerm(state)
+  const highestTerm = findHighestTerm(state)
   const primary = findUsablePrimary(state)
-  const isNewest = primary?.status?.term === highestTerm
-  if (isNewest && isReachable(state, primary!, nowMs)) return outage.reason
-  if (isHeardByReplica(state, highestTerm, nowMs) && waitedMs < timings.linkThresholdMs) return null
-  if (isNewest) return outage.reason
-  const isDue = waitedMs >= timings.electionTimeoutMs && !isPrimaryExpected(state, nowMs)
-  return isDue ? outage.reason : null
+  const isPrimaryOfHighestTerm = primary?.status?.term === highestTerm
+  if (isPrimaryOfHighestTerm && isReachable(state, primary!, nowMs)) return outage.reason
+  if (hasRecentReplicaContact(state, highestTerm, nowMs) && waitedMs < timings.vmLinkLostThresholdMs) return null
+  if (isPrimaryOfHighestTerm) return outage.reason
+  const isElectionDue = waitedMs >= timings.electionTimeoutMs && !isPrimaryConfirmationPending(state, nowMs)
+  return isElectionDue ? outage.reason : null
 }
 
 /** Without a quorum in reach an attempt would only unsettle those instances that it reaches. */
 function canStartElection (state: FailoverState, nowMs: number): boolean {
-  return state.election === null && nowMs >= state.notBeforeMs && countReachable(state, nowMs) >= state.quorum
+  return state.election === null && nowMs >= state.nextElectionNotBeforeMs && countReachableInstances(state, nowMs) >= state.quorumSize
 }
 
-function handlePromoted (state: FailoverState, instance: ProbedInstance, message: Extract<FailoverMessage, { type: 'promoteAnswered' }>, nowMs: number): FailoverEffect[] {
+function handlePromotion (state: FailoverState, instance: ProbedInstance, message: Extract<FailoverMessage, { type: 'promoteAnswered' }>, nowMs: number): FailoverEffect[] {
   const { election } = state
   const { promoter, sentAtMs, status } = message
   if (election === null || election.promoter !== promoter) return []
-  const tookMs = Math.round(nowMs - election.startedAtMs)
+  const electionDurationMs = Math.round(nowMs - election.startedAtMs)
   state.election = null
-  state.failedElections = 0
-  const log: FailoverEffect = { type: 'log', stage: 'promoted', fields: { endpoint: instance.endpoint.endpoint, term: status.term, logged: status.logged, tookMs } }
-  return [log, ...handleStatus(state, instance, sentAtMs, status, nowMs)]
+  state.failedElectionCount = 0
+  const logEffect: FailoverEffect = { type: 'log', stage: 'promoted', fields: { endpoint: instance.endpoint.endpoint, term: status.term, logged: status.logged, electionDurationMs } }
+  return [logEffect, ...handleStatus(state, instance, sentAtMs, status, nowMs)]
 }
--- a/packages/proxy/src/failover/durability-watch.ts
+++ b/packages/proxy/src/failover/durability-watch.ts
@@ -1,14 +1,14 @@
 import { formatWait, waitResultSchema, type LogPosition } from '@camphorpitch/wire'
 import type { ControlConnection } from './control-connection.ts'
-import { addWaiter, createDurabilityState, findNextPosition, listOutcomes, recordReport, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
+import { addWaiter, createDurabilityState, findNextAwaitedPosition, removeSettledWaiters, recordReport, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
 
 const WAIT_TIMEOUT_MS = 500
-const ANSWER_SLACK_MS = 500
+const RESPONSE_MARGIN_MS = 500
 const RETRY_INTERVAL_MS = 50
 
 export interface DurabilityWatchOptions {
   connections: ReadonlyMap<string, ControlConnection>
-  quorum: number
+  quorumSize: number
 }
 
 /** Waits for positions to be held by a quorum, with one outstanding `GROUP WAIT` for each instance. */
@@ -19,27 +19,27 @@
   stop: () => void
 }
 
-export function startDurabilityWatch ({ connections, quorum }: DurabilityWatchOptions): DurabilityWatch {
+export function startDurabilityWatch ({ connections, quorumSize }: DurabilityWatchOptions): DurabilityWatch {
   const instances = [...connections.keys()]
-  const state = createDurabilityState(instances, quorum)
-  const resolvers = new Map<number, (durable: boolean) => void>()
-  const polling = new Set<string>()
+  const state = createDurabilityState(instances, quorumSize)
+  const resolvers = new Map<number, (isDurable: boolean) => void>()
+  const polledInstances = new Set<string>()
 
-  const handleOutcomes = (outcomes: readonly DurabilityOutcome[]): void => {
-    for (const { id, durable } of outcomes) {
-      resolvers.get(id)?.(durable)
+  const resolveWaits = (outcomes: readonly DurabilityOutcome[]): void => {
+    for (const { id, isDurable } of outcomes) {
+      resolvers.get(id)?.(isDurable)
       resolvers.delete(id)
     }
   }
-  const poll = async (instance: string): Promise<void> => {
-    if (polling.has(instance)) return
-    polling.add(instance)
-    for (let next = findNextPosition(state, instance); next !== undefined; next = findNextPosition(state, instance)) {
-      const report = await requestHolding(connections.get(instance)!, next)
+  const pollInstance = async (instance: string): Promise<void> => {
+    if (polledInstances.has(instance)) return
+    polledInstances.add(instance)
+    for (let next = findNextAwaitedPosition(state, instance); next !== undefined; next = findNextAwaitedPosition(state, instance)) {
+      const report = await requestLogReport(connections.get(instance)!, next)
       if (report === null) await new Promise(resolve => setTimeout(resolve, RETRY_INTERVAL_MS))
-      else handleOutcomes(recordReport(state, instance, report))
+      else resolveWaits(recordReport(state, instance, report))
     }
-    polling.delete(instance)
+    polledInstances.delete(instance)
   }
   return {
     wait: async (position, primary, timeoutMs) => {
@@ -47,23 +47,23 @@
       const result = new Promise<boolean>(resolve => { resolvers.set(id, resolve) })
       const timer = setTimeout(() => {
         removeWaiter(state, id)
-        handleOutcomes([{ id, durable: false }])
+        resolveWaits([{ id, isDurable: false }])
       }, timeoutMs)
-      handleOutcomes(listOutcomes(state))
-      for (const i of instances) poll(i).catch(() => polling.delete(i))
+      resolveWaits(removeSettledWaiters(state))
+      for (const i of instances) pollInstance(i).catch(() => polledInstances.delete(i))
       return await result.finally(() => { clearTimeout(timer) })
     },
-    recordReport: (instance, report) => { handleOutcomes(recordReport(state, instance, report)) },
+    recordReport: (instance, report) => { resolveWaits(recordReport(state, instance, report)) },
     stop: () => {
-      handleOutcomes([...resolvers.keys()].map(id => ({ id, durable: false })))
+      resolveWaits([...resolvers.keys()].map(id => ({ id, isDurable: false })))
       state.waiters.clear()
     }
   }
 }
 
-async function requestHolding (connection: ControlConnection, position: LogPosition): Promise<LogReport | null> {
+async function requestLogReport (connection: ControlConnection, position: LogPosition): Promise<LogReport | null> {
   try {
-    const text = await connection.query(formatWait(position, WAIT_TIMEOUT_MS), WAIT_TIMEOUT_MS + ANSWER_SLACK_MS)
+    const text = await connection.query(formatWait(position, WAIT_TIMEOUT_MS), WAIT_TIMEOUT_MS + RESPONSE_MARGIN_MS)
     const { reached, term, logged } = waitResultSchema.parse(JSON.parse(text))
     if (logged !== undefined) return { term, logged }
     return reached ? { term, logged: position } : { term, logged: { term: 0, index: 0 } }
--- a/packages/proxy/src/failover/durability.ts
+++ b/packages/proxy/src/failover/durability.ts
@@ -9,16 +9,16 @@
 interface DurabilityWaiter {
   position: LogPosition
   /** Instances, the primary apart, that must hold the position. */
-  needed: number
+  neededHolderCount: number
   primary: string | null
   holders: Set<string>
   /** Instances that have promised a newer term without having been seen to hold the position. */
-  departed: Set<string>
+  instancesInNewerTerm: Set<string>
 }
 
 export interface DurabilityOutcome {
   id: number
-  durable: boolean
+  isDurable: boolean
 }
 
 /**
@@ -29,13 +29,13 @@
  */
 export interface DurabilityState {
   instances: readonly string[]
-  quorum: number
+  quorumSize: number
   waiters: Map<number, DurabilityWaiter>
-  lastId: number
+  lastWaiterId: number
 }
 
-export function createDurabilityState (instances: readonly string[], quorum: number): DurabilityState {
-  return { instances, quorum, waiters: new Map(), lastId: 0 }
+export function createDurabilityState (instances: readonly string[], quorumSize: number): DurabilityState {
+  return { instances, quorumSize, waiters: new Map(), lastWaiterId: 0 }
 }
 
 /**
@@ -44,10 +44,10 @@
  * @param primary the instance that is primary in the position's term, which holds it already; `null` when that is not known
  */
 export function addWaiter (state: DurabilityState, position: LogPosition, primary: string | null): number {
-  const needed = primary === null ? state.quorum : state.quorum - 1
-  state.lastId++
-  state.waiters.set(state.lastId, { position, needed, primary, holders: new Set(), departed: new Set() })
-  return state.lastId
+  const neededHolderCount = primary === null ? state.quorumSize : state.quorumSize - 1
+  state.lastWaiterId++
+  state.waiters.set(state.lastWaiterId, { position, neededHolderCount, primary, holders: new Set(), instancesInNewerTerm: new Set() })
+  return state.lastWaiterId
 }
 
 export function removeWaiter (state: DurabilityState, id: number): void {
@@ -56,32 +56,32 @@
 
 /** Takes a report; returns the waits that it ends. */
 export function recordReport (state: DurabilityState, instance: string, report: LogReport): DurabilityOutcome[] {
-  for (const w of state.waiters.values()) recordHolder(w, instance, report)
-  return listOutcomes(state)
+  for (const w of state.waiters.values()) recordWaiterReport(w, instance, report)
+  return removeSettledWaiters(state)
 }
 
 /** The waits that are over, which are removed. */
-export function listOutcomes (state: DurabilityState): DurabilityOutcome[] {
+export function removeSettledWaiters (state: DurabilityState): DurabilityOutcome[] {
   const outcomes: DurabilityOutcome[] = []
   for (const [id, w] of state.waiters) {
-    const durable = w.holders.size >= w.needed
-    const possible = state.instances.filter(i => i !== w.primary && !w.departed.has(i)).length
-    if (durable || possible < w.needed) outcomes.push({ id, durable })
+    const isDurable = w.holders.size >= w.neededHolderCount
+    const possibleHolderCount = state.instances.filter(i => i !== w.primary && !w.instancesInNewerTerm.has(i)).length
+    if (isDurable || possibleHolderCount < w.neededHolderCount) outcomes.push({ id, isDurable })
   }
   for (const { id } of outcomes) state.waiters.delete(id)
   return outcomes
 }
 
-function recordHolder (waiter: DurabilityWaiter, instance: string, { term, logged }: LogReport): void {
+function recordWaiterReport (waiter: DurabilityWaiter, instance: string, { term, logged }: LogReport): void {
   const { position } = waiter
   if (instance === waiter.primary || waiter.holders.has(instance)) return
-  if (term > position.term) waiter.departed.add(instance)
+  if (term > position.term) waiter.instancesInNewerTerm.add(instance)
   const isHeld = term === position.term && logged.term === position.term && logged.index >= position.index
   if (isHeld) waiter.holders.add(instance)
 }
 
 /** The first position that this instance is still to hold; `undefined` when no wait depends on it. */
-export function findNextPosition (state: DurabilityState, instance: string): LogPosition | undefined {
-  const waiting = [...state.waiters.values()].filter(w => instance !== w.primary && !w.holders.has(instance) && !w.departed.has(instance))
-  return waiting.map(w => w.position).sort(comparePositions)[0]
+export function findNextAwaitedPosition (state: DurabilityState, instance: string): LogPosition | undefined {
+  const pendingWaiters = [...state.waiters.values()].filter(w => instance !== w.primary && !w.holders.has(instance) && !w.instancesInNewerTerm.has(instance))
+  return pendingWaiters.map(w => w.position).sort(comparePositions)[0]
 }
--- a/packages/proxy/src/failover/election.ts
+++ b/packages/proxy/src/failover/election.ts
@@ -1,5 +1,5 @@
 import { comparePositions } from '@camphorpitch/wire'
-import { findUsablePrimary, isPrimaryLeaving, isReachable, isReplicationLost, listProbed, readHighestTerm } from './health.ts'
+import { findUsablePrimary, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances, findHighestTerm } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import type { Election, FailoverState, ProbedInstance } from './state.ts'
 
@@ -7,47 +7,47 @@
 
 /** Asks every instance for a new term. */
 export function startElection (state: FailoverState, reason: string, nowMs: number): FailoverEffect[] {
-  state.attempts++
+  state.electionCount++
   const primary = findUsablePrimary(state)
-  const isUnfit = primary !== undefined && isReachable(state, primary, nowMs) && (isReplicationLost(state, primary.status!, nowMs) || isPrimaryLeaving(state, primary, nowMs))
+  const isPrimaryUnfit = primary !== undefined && isReachable(state, primary, nowMs) && (isReplicationLost(state, primary.status!, nowMs) || isPrimaryLeaving(state, primary, nowMs))
   const election: Election = {
-    term: readHighestTerm(state) + 1,
-    promoter: `${state.promoterId}.${state.attempts}`,
+    term: findHighestTerm(state) + 1,
+    promoter: `${state.promoterId}.${state.electionCount}`,
     startedAtMs: nowMs,
-    avoided: isUnfit ? primary.endpoint.endpoint : null,
+    excludedCandidate: isPrimaryUnfit ? primary.endpoint.endpoint : null,
     grants: new Map(),
     candidate: null
   }
   state.election = election
   const { term, promoter } = election
-  const fences = listProbed(state).map(i => ({ type: 'fence' as const, endpoint: i.endpoint.endpoint, term, promoter }))
-  return [{ type: 'log', stage: 'electionStarted', fields: { reason, term, promoter, rank: state.rank } }, ...fences]
+  const fenceEffects = listProbedInstances(state).map(i => ({ type: 'fence' as const, endpoint: i.endpoint.endpoint, term, promoter }))
+  return [{ type: 'log', stage: 'electionStarted', fields: { reason, term, promoter, rank: state.rank } }, ...fenceEffects]
 }
 
 /** Counts a granted term; with a quorum of them, promotes the instance whose log ends last. */
-export function handleGrant (state: FailoverState, instance: ProbedInstance, { promoter, sentAtMs, status }: Extract<FailoverMessage, { type: 'fenceGranted' }>): FailoverEffect[] {
+export function handleFenceGrant (state: FailoverState, instance: ProbedInstance, { promoter, sentAtMs, status }: Extract<FailoverMessage, { type: 'fenceGranted' }>): FailoverEffect[] {
   const { election } = state
   const { endpoint } = instance.endpoint
   const isCurrent = election !== null && election.promoter === promoter && election.term === status.term
   if (!isCurrent) return []
   instance.status = status
   instance.probedAtMs = sentAtMs
-  if (election.avoided === endpoint || election.candidate !== null) return []
+  if (election.excludedCandidate === endpoint || election.candidate !== null) return []
   election.grants.set(endpoint, status)
   const effects: FailoverEffect[] = [{ type: 'log', stage: 'fenceGranted', fields: { endpoint, term: election.term, logged: status.logged } }]
-  if (election.grants.size < state.quorum) return effects
+  if (election.grants.size < state.quorumSize) return effects
   const candidate = pickCandidate(state, election)
   election.candidate = candidate
-  effects.push({ type: 'log', stage: 'promoting', fields: { endpoint: candidate, term: election.term, granted: [...election.grants.keys()] } })
+  effects.push({ type: 'log', stage: 'promoting', fields: { endpoint: candidate, term: election.term, grantedBy: [...election.grants.keys()] } })
   effects.push({ type: 'promote', endpoint: candidate, term: election.term, promoter })
   return effects
 }
 
 /** The granting instance whose log ends last; among equals one that stays, then the one that answered first. */
 function pickCandidate (state: FailoverState, election: Election): string {
-  const granted = [...election.grants.entries()]
+  const grantedStatuses = [...election.grants.entries()]
   const isStaying = (endpoint: string) => state.instances.get(endpoint)?.endpoint.state !== 'leaving'
-  return granted.reduce((best, next) => {
+  return grantedStatuses.reduce((best, next) => {
     const order = comparePositions(next[1].logged, best[1].logged)
     const isBetter = order > 0 || (order === 0 && isStaying(next[0]) && !isStaying(best[0]))
     return isBetter ? next : best
@@ -59,8 +59,8 @@
   const { election, timings } = state
   if (election === null || election.promoter !== promoter) return []
   state.election = null
-  state.failedElections++
-  const longestMs = Math.min(timings.maxBackoffMs, timings.backoffMs * 2 ** (state.failedElections - 1))
-  state.notBeforeMs = nowMs + longestMs * (0.5 + state.random() / 2)
+  state.failedElectionCount++
+  const maxDelayMs = Math.min(timings.maxBackoffMs, timings.initialBackoffMs * 2 ** (state.failedElectionCount - 1))
+  state.nextElectionNotBeforeMs = nowMs + maxDelayMs * (0.5 + state.random() / 2)
   return [{ type: 'log', stage: 'electionFailed', fields: { term: election.term, promoter, reason } }]
 }
--- a/packages/proxy/src/failover/group-view.test.ts
+++ b/packages/proxy/src/failover/group-view.test.ts
@@ -137,17 +137,17 @@
 
   it('acknowledges nothing of an old primary after another VM, which cannot reach it, has promoted', async () => {
     const database = await startGroup(3)
-    const near = startView(database, 1)
-    await writeDurably(near, 'CREATE TABLE t (id INTEGER)')
+    const viewOfOldPrimary = startView(database, 1)
+    await writeDurably(viewOfOldPrimary, 'CREATE TABLE t (id INTEGER)')
     const old = await connectTo(group[0]!)
     const [unreachable, ...others] = database.endpoints
-    const far = startView({ ...database, endpoints: [{ ...unreachable!, port: 1 }, ...others] }, 0)
-    const position = await writeDurably(far, 'INSERT INTO t VALUES (1)')
+    const viewWithoutOldPrimary = startView({ ...database, endpoints: [{ ...unreachable!, port: 1 }, ...others] }, 0)
+    const position = await writeDurably(viewWithoutOldPrimary, 'INSERT INTO t VALUES (1)')
     expect(position.term).to.be.greaterThan(1)
-    const late = await old.query<ResultSetHeader>('INSERT INTO t VALUES (2)').then(([ok]) => parseCommitInfo(ok.info), () => null)
+    const lateWritePosition = await old.query<ResultSetHeader>('INSERT INTO t VALUES (2)').then(([ok]) => parseCommitInfo(ok.info), () => null)
     old.destroy()
-    if (late !== null) expect(await near.waitDurable(late, 1_000)).to.equal(false)
-    const next = await writeDurably(near, 'INSERT INTO t VALUES (3)')
+    if (lateWritePosition !== null) expect(await viewOfOldPrimary.waitDurable(lateWritePosition, 1_000)).to.equal(false)
+    const next = await writeDurably(viewOfOldPrimary, 'INSERT INTO t VALUES (3)')
     await waitUntil(() => hasApplied(group[0]!, next))
     expect(await readIds(group[0]!)).to.deep.equal([1, 3])
   })
@@ -174,14 +174,14 @@
     await writeDurably(before, 'CREATE TABLE t (id INTEGER)')
     const acknowledged = await writeDurably(before, 'INSERT INTO t VALUES (1)')
     before.stop()
-    const left = before.findPrimary()!.endpoint.endpoint
-    const endpoints = database.endpoints.map(e => e.endpoint === left ? { ...e, state: 'leaving' as const } : e)
+    const leavingInstance = before.findPrimary()!.endpoint.endpoint
+    const endpoints = database.endpoints.map(e => e.endpoint === leavingInstance ? { ...e, state: 'leaving' as const } : e)
     const view = startView({ ...database, endpoints }, 1)
-    await waitUntil(() => view.findPrimary() !== undefined && view.findPrimary()!.endpoint.endpoint !== left)
+    await waitUntil(() => view.findPrimary() !== undefined && view.findPrimary()!.endpoint.endpoint !== leavingInstance)
     const successor = findEndpoint(view.findPrimary()!.endpoint.endpoint)
     expect(hasApplied(successor, acknowledged)).to.equal(true)
     await writeDurably(view, 'INSERT INTO t VALUES (2)')
-    expect(view.findPrimary()!.endpoint.endpoint).to.not.equal(left)
+    expect(view.findPrimary()!.endpoint.endpoint).to.not.equal(leavingInstance)
   })
 
   it('serves a group of one instance, and says when no quorum answers', async () => {
--- a/packages/proxy/src/failover/repair.ts
+++ b/packages/proxy/src/failover/repair.ts
@@ -1,4 +1,4 @@
-import { findReachablePrimary, listProbed, readHighestTerm } from './health.ts'
+import { findReachablePrimary, listProbedInstances, findHighestTerm } from './health.ts'
 import type { FailoverEffect } from './messages.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
 
@@ -10,11 +10,11 @@
   const primary = findReachablePrimary(state, nowMs)
   if (primary === undefined) return []
   const term = primary.status!.term
-  if (term < readHighestTerm(state)) return []
+  if (term < findHighestTerm(state)) return []
   const effects: FailoverEffect[] = []
-  for (const i of listProbed(state)) {
-    if (i === primary || !isMisplaced(i, term) || nowMs - i.lastFollowAtMs < state.timings.followIntervalMs) continue
-    i.lastFollowAtMs = nowMs
+  for (const i of listProbedInstances(state)) {
+    if (i === primary || !isFollowRequired(i, term) || nowMs - i.lastFollowSentAtMs < state.timings.minFollowIntervalMs) continue
+    i.lastFollowSentAtMs = nowMs
     const { endpoint } = i.endpoint
     effects.push({ type: 'log', stage: 'following', fields: { endpoint, term, primary: primary.endpoint.endpoint } })
     effects.push({ type: 'follow', endpoint, term, primary: primary.endpoint })
@@ -22,7 +22,7 @@
   return effects
 }
 
-function isMisplaced ({ status }: ProbedInstance, term: number): boolean {
+function isFollowRequired ({ status }: ProbedInstance, term: number): boolean {
   if (status === null) return false
   return status.term < term || status.role === 'fenced'
 }
--- a/packages/proxy/src/failover/shared-probe.ts
+++ b/packages/proxy/src/failover/shared-probe.ts
@@ -3,24 +3,24 @@
  *
  * @example const probe = createSharedProbe(() => connection.query('SHOW GROUP STATUS', 500))
  */
-export function createSharedProbe<T> (run: () => Promise<T>): () => Promise<T> {
-  let running: Promise<T> | null = null
-  let next: Promise<T> | null = null
-  const start = (): Promise<T> => {
-    const current = run().finally(() => {
-      if (running === current) running = null
+export function createSharedProbe<T> (runProbe: () => Promise<T>): () => Promise<T> {
+  let runningProbe: Promise<T> | null = null
+  let queuedProbe: Promise<T> | null = null
+  const startProbe = (): Promise<T> => {
+    const probe = runProbe().finally(() => {
+      if (runningProbe === probe) runningProbe = null
     })
-    running = current
-    return current
+    runningProbe = probe
+    return probe
   }
   return () => {
-    if (next !== null) return next
-    if (running === null) return start()
-    const queued = running.catch(() => {}).then(() => {
-      next = null
-      return start()
+    if (queuedProbe !== null) return queuedProbe
+    if (runningProbe === null) return startProbe()
+    const nextProbe = runningProbe.catch(() => {}).then(() => {
+      queuedProbe = null
+      return startProbe()
     })
-    next = queued
-    return queued
+    queuedProbe = nextProbe
+    return nextProbe
   }
 }
--- a/packages/proxy/src/failover/start-group-view.ts
+++ b/packages/proxy/src/failover/start-group-view.ts
@@ -7,7 +7,7 @@
 import { startDurabilityWatch, type DurabilityWatch } from './durability-watch.ts'
 import { InstanceRefusalError, InstanceUnreachableError, NoQuorumError } from './errors.ts'
 import { GroupView, type InstanceView } from './group-view.ts'
-import { estimateRecoveryMs, findReachablePrimary, hasSuspicion, isReachable, listDueProbes, listProbed } from './health.ts'
+import { estimateRecoveryMs, findReachablePrimary, isPrimarySuspected, isReachable, listInstancesToProbe, listProbedInstances } from './health.ts'
 import type { FailoverEffect, FailoverMessage, FailoverStage } from './messages.ts'
 import { createSharedProbe } from './shared-probe.ts'
 import { createFailoverState, type FailoverState } from './state.ts'
@@ -17,9 +17,9 @@
 /** After this long without an answer a control connection is given up and opened anew. */
 const PROBE_TIMEOUT_MS = 2_000
 const COMMAND_TIMEOUT_MS = 1_000
-const PROMOTER_ID_BYTES = 6
+const PROMOTER_ID_RANDOM_BYTES = 6
 /** Rank of a VM without a place, which promotes after those that have one. */
-const UNRANKED = 5
+const RANK_WITHOUT_PLACE = 5
 
 export interface GroupViewOptions {
   system: ActorSystemRef
@@ -37,11 +37,11 @@
   metrics?: Pick<Metrics, 'promotions' | 'outage'>
 }
 
-interface InstanceLink {
+interface InstanceConnections {
   /** Carries probes and the statements that steer the group. */
-  command: ControlConnection
+  commandConnection: ControlConnection
   /** Carries `GROUP WAIT`, which may take long. */
-  durability: ControlConnection
+  durabilityConnection: ControlConnection
   probe: () => Promise<InstanceStatus>
 }
 
@@ -58,30 +58,30 @@
 
 /** Unique to this view: a grant to an earlier run of the same VM must not count for this one. */
 function createPromoterId (vm: string, incarnation: number): string {
-  return `${vm}.${incarnation}.${randomBytes(PROMOTER_ID_BYTES).toString('hex')}`
+  return `${vm}.${incarnation}.${randomBytes(PROMOTER_ID_RANDOM_BYTES).toString('hex')}`
 }
 
 class ProbedGroupView extends GroupView {
   readonly #options: GroupViewOptions
-  readonly #links: Map<string, InstanceLink>
+  readonly #connections: Map<string, InstanceConnections>
   readonly #listeners = new Set<() => void>()
-  readonly #durability: DurabilityWatch
+  readonly #durabilityWatch: DurabilityWatch
   readonly #primaryByTerm = new Map<number, string>()
   readonly #tell: (message: FailoverMessage) => void
   readonly #readState: () => FailoverState
   readonly #stopActor: () => void
   readonly #timers: NodeJS.Timeout[]
-  #round = 0
-  #stopped = false
+  #probeRound = 0
+  #isStopped = false
 
   constructor (options: GroupViewOptions) {
     super()
     this.#options = options
     const { system, clock, logger, database, vm, incarnation, seed = incarnation, timings } = options
     const { endpoints } = database
-    this.#links = new Map(endpoints.map(e => [e.endpoint, this.#createLink(e.endpoint)]))
+    this.#connections = new Map(endpoints.map(e => [e.endpoint, this.#createConnections(e.endpoint)]))
     const initialState = createFailoverState({ database: database.database, endpoints, promoterId: createPromoterId(vm, incarnation), seed, nowMs: clock.readNow(), timings })
-    this.#durability = startDurabilityWatch({ connections: new Map([...this.#links].map(([name, l]) => [name, l.durability])), quorum: initialState.quorum })
+    this.#durabilityWatch = startDurabilityWatch({ connections: new Map([...this.#connections].map(([name, l]) => [name, l.durabilityConnection])), quorumSize: initialState.quorumSize })
     const actor = spawnSlice<FailoverState, FailoverMessage, FailoverEffect>({
       system, name: `failover-${database.database}`, clock, logger, initialState, decide: decideFailover, runEffect: e => { this.#runEffect(e) }
     })
@@ -89,14 +89,14 @@
     this.#readState = actor.readState
     this.#stopActor = actor.stop
     const { probeIntervalMs } = initialState.timings
-    this.#timers = [setInterval(() => { this.#tick() }, TICK_INTERVAL_MS), setInterval(() => { this.#probeDue() }, probeIntervalMs)]
+    this.#timers = [setInterval(() => { this.#tick() }, TICK_INTERVAL_MS), setInterval(() => { this.#probeNextRound() }, probeIntervalMs)]
     this.#probeAll()
   }
 
   override listInstances (): readonly InstanceView[] {
     const state = this.#readState()
     const nowMs = this.#options.clock.readNow()
-    return listProbed(state).map(i => ({
+    return listProbedInstances(state).map(i => ({
       endpoint: i.endpoint, status: i.status, probedAtMs: i.probedAtMs, isReachable: isReachable(state, i, nowMs)
     }))
   }
@@ -107,31 +107,31 @@
   }
 
   override async probeInstance (endpoint: string): Promise<InstanceStatus> {
-    const link = this.#links.get(endpoint)
-    if (link === undefined) throw new InstanceUnreachableError(`${endpoint}: not of this group`)
-    return await link.probe()
+    const connections = this.#connections.get(endpoint)
+    if (connections === undefined) throw new InstanceUnreachableError(`${endpoint}: not of this group`)
+    return await connections.probe()
   }
 
   override async readBaseline (timeoutMs: number): Promise<LogPosition> {
-    const { quorum } = this.#readState()
-    const answers: LogPosition[] = []
+    const { quorumSize } = this.#readState()
+    const positions: LogPosition[] = []
     return await new Promise((resolve, reject) => {
-      const refuse = (): void => { reject(new NoQuorumError(`${this.#options.database.database}: fewer than ${quorum} instances answered`)) }
-      const timer = setTimeout(refuse, timeoutMs)
-      let pending = this.#links.size
-      const handle = (status: InstanceStatus | null): void => {
-        pending--
-        if (status !== null) answers.push(status.logged)
-        if (answers.length === quorum) resolve(answers.sort(comparePositions).at(-1)!)
-        else if (pending + answers.length < quorum) refuse()
-        if (answers.length >= quorum || pending === 0) clearTimeout(timer)
+      const rejectWithoutQuorum = (): void => { reject(new NoQuorumError(`${this.#options.database.database}: fewer than ${quorumSize} instances answered`)) }
+      const timer = setTimeout(rejectWithoutQuorum, timeoutMs)
+      let pendingProbeCount = this.#connections.size
+      const handleProbeResult = (status: InstanceStatus | null): void => {
+        pendingProbeCount--
+        if (status !== null) positions.push(status.logged)
+        if (positions.length === quorumSize) resolve(positions.sort(comparePositions).at(-1)!)
+        else if (pendingProbeCount + positions.length < quorumSize) rejectWithoutQuorum()
+        if (positions.length >= quorumSize || pendingProbeCount === 0) clearTimeout(timer)
       }
-      for (const l of this.#links.values()) l.probe().then(handle, () => { handle(null) })
+      for (const l of this.#connections.values()) l.probe().then(handleProbeResult, () => { handleProbeResult(null) })
     })
   }
 
   override async waitDurable (position: LogPosition, timeoutMs: number): Promise<boolean> {
-    return await this.#durability.wait(position, this.#primaryByTerm.get(position.term) ?? null, timeoutMs)
+    return await this.#durabilityWatch.wait(position, this.#primaryByTerm.get(position.term) ?? null, timeoutMs)
   }
 
   override estimateRecoveryMs (): number {
@@ -143,47 +143,47 @@
   }
 
   override stop (): void {
-    this.#stopped = true
+    this.#isStopped = true
     for (const t of this.#timers) clearInterval(t)
     this.#stopActor()
     this.#options.metrics?.outage.remove({ database: this.#options.database.database })
-    this.#durability.stop()
-    for (const { command, durability } of this.#links.values()) {
-      command.stop()
-      durability.stop()
+    this.#durabilityWatch.stop()
+    for (const { commandConnection, durabilityConnection } of this.#connections.values()) {
+      commandConnection.stop()
+      durabilityConnection.stop()
     }
     this.#listeners.clear()
   }
 
-  #createLink (name: string): InstanceLink {
+  #createConnections (name: string): InstanceConnections {
     const { endpoints, user, password } = this.#options.database
     const endpoint = endpoints.find(e => e.endpoint === name)!
-    const command = createControlConnection({ endpoint, user, password })
-    const durability = createControlConnection({ endpoint, user, password })
-    return { command, durability, probe: createSharedProbe(() => this.#probe(name)) }
+    const commandConnection = createControlConnection({ endpoint, user, password })
+    const durabilityConnection = createControlConnection({ endpoint, user, password })
+    return { commandConnection, durabilityConnection, probe: createSharedProbe(() => this.#probe(name)) }
   }
 
   #tick (): void {
     const rank = this.#options.readRank?.() ?? 0
-    this.#tell({ type: 'tick', rank: rank < 0 ? UNRANKED : rank })
-    if (hasSuspicion(this.#readState(), this.#options.clock.readNow())) this.#probeAll()
+    this.#tell({ type: 'tick', rank: rank < 0 ? RANK_WITHOUT_PLACE : rank })
+    if (isPrimarySuspected(this.#readState(), this.#options.clock.readNow())) this.#probeAll()
   }
 
-  #probeDue (): void {
-    this.#round++
-    for (const { endpoint } of listDueProbes(this.#readState(), this.#round)) this.#links.get(endpoint.endpoint)!.probe().catch(() => {})
+  #probeNextRound (): void {
+    this.#probeRound++
+    for (const { endpoint } of listInstancesToProbe(this.#readState(), this.#probeRound)) this.#connections.get(endpoint.endpoint)!.probe().catch(() => {})
   }
 
   #probeAll (): void {
-    for (const l of this.#links.values()) l.probe().catch(() => {})
+    for (const l of this.#connections.values()) l.probe().catch(() => {})
   }
 
   async #probe (endpoint: string): Promise<InstanceStatus> {
-    if (this.#stopped) throw new InstanceUnreachableError(`${endpoint}: stopped`)
+    if (this.#isStopped) throw new InstanceUnreachableError(`${endpoint}: stopped`)
     const sentAtMs = this.#options.clock.readNow()
     this.#tell({ type: 'probeSent', endpoint })
     try {
-      const status = parseInstanceStatus(await this.#links.get(endpoint)!.command.query(formatStatusQuery(), PROBE_TIMEOUT_MS))
+      const status = parseInstanceStatus(await this.#connections.get(endpoint)!.commandConnection.query(formatStatusQuery(), PROBE_TIMEOUT_MS))
       this.#recordStatus(endpoint, status, sentAtMs)
       return status
     } catch (error) {
@@ -195,24 +195,24 @@
 
   #recordStatus (endpoint: string, status: InstanceStatus, sentAtMs: number): void {
     if (status.role === 'primary') this.#primaryByTerm.set(status.term, endpoint)
-    this.#durability.recordReport(endpoint, status)
+    this.#durabilityWatch.recordReport(endpoint, status)
     this.#tell({ type: 'probeAnswered', endpoint, sentAtMs, status })
   }
 
   #runEffect (effect: FailoverEffect): void {
-    if (this.#stopped) return
+    if (this.#isStopped) return
     if (effect.type === 'changed') {
       for (const l of this.#listeners) l()
       return
     }
     if (effect.type === 'log') {
-      this.#recordStage(effect.stage, effect.fields)
+      this.#logStage(effect.stage, effect.fields)
       return
     }
     this.#runCommand(effect).catch(() => {})
   }
 
-  #recordStage (stage: FailoverStage, fields: Record<string, unknown>): void {
+  #logStage (stage: FailoverStage, fields: Record<string, unknown>): void {
     const { logger, metrics, database: { database } } = this.#options
     logger.info('failover', { database, stage, ...fields })
     if (stage === 'promoted') metrics?.promotions.inc({ database })
@@ -250,6 +250,6 @@
   }
 
   async #sendCommand (endpoint: string, sql: string): Promise<InstanceStatus> {
-    return parseInstanceStatus(await this.#links.get(endpoint)!.command.query(sql, COMMAND_TIMEOUT_MS))
+    return parseInstanceStatus(await this.#connections.get(endpoint)!.commandConnection.query(sql, COMMAND_TIMEOUT_MS))
   }
 }
--- a/packages/proxy/src/failover/state.ts
+++ b/packages/proxy/src/failover/state.ts
@@ -7,10 +7,10 @@
   /** When the probe that brought `status` was sent. */
   probedAtMs: number
   /** When the oldest probe without an answer was sent; `null` when the last one was answered. */
-  silentSinceMs: number | null
+  unresponsiveSinceMs: number | null
   /** When the instance began to refuse connections; `null` when it does not. */
-  refusedSinceMs: number | null
-  lastFollowAtMs: number
+  connectionRefusedSinceMs: number | null
+  lastFollowSentAtMs: number
 }
 
 /** This VM's attempt to make an instance primary in a new term. */
@@ -20,7 +20,7 @@
   promoter: string
   startedAtMs: number
   /** Instance that must not become primary because its replicas have lost it or it leaves. */
-  avoided: string | null
+  excludedCandidate: string | null
   grants: Map<string, InstanceStatus>
   candidate: string | null
 }
@@ -29,7 +29,7 @@
   database: string
   promoterId: string
   /** Instances that must grant a term, and that must hold an entry, for either to be safe. */
-  quorum: number
+  quorumSize: number
   instances: Map<string, ProbedInstance>
   timings: FailoverTimings
   /** Place among the VMs that may promote; 0 goes first. */
@@ -37,10 +37,10 @@
   election: Election | null
   /** Since when the group has been without a usable primary, and why. */
   outage: { sinceMs: number, reason: string } | null
-  failedElections: number
-  attempts: number
-  notBeforeMs: number
-  lastTickMs: number
+  failedElectionCount: number
+  electionCount: number
+  nextElectionNotBeforeMs: number
+  lastTickAtMs: number
   /** Draws back-offs, from a seed. */
   random: () => number
 }
@@ -62,25 +62,25 @@
   return {
     database,
     promoterId,
-    quorum: computeQuorum(endpoints.length),
+    quorumSize: computeQuorumSize(endpoints.length),
     instances: new Map(endpoints.map(e => [e.endpoint, createProbedInstance(e, nowMs)])),
     timings: { ...defaultTimings, ...timings },
     rank,
     election: null,
     outage: null,
-    failedElections: 0,
-    attempts: 0,
-    notBeforeMs: nowMs,
-    lastTickMs: nowMs,
+    failedElectionCount: 0,
+    electionCount: 0,
+    nextElectionNotBeforeMs: nowMs,
+    lastTickAtMs: nowMs,
     random: createSeededRandom(seed)
   }
 }
 
 function createProbedInstance (endpoint: Endpoint, nowMs: number): ProbedInstance {
-  return { endpoint, status: null, probedAtMs: nowMs, silentSinceMs: null, refusedSinceMs: null, lastFollowAtMs: -Infinity }
+  return { endpoint, status: null, probedAtMs: nowMs, unresponsiveSinceMs: null, connectionRefusedSinceMs: null, lastFollowSentAtMs: -Infinity }
 }
 
 /** @example computeQuorum(3) // 2 */
-export function computeQuorum (size: number): number {
-  return Math.floor(size / 2) + 1
+export function computeQuorumSize (groupSize: number): number {
+  return Math.floor(groupSize / 2) + 1
 }
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -5,7 +5,7 @@
 import { computeBaseline } from '../routing/baseline-history.ts'
 import { decideFailover } from './decide-failover.ts'
 import { addWaiter, createDurabilityState, recordReport, removeWaiter, type DurabilityState } from './durability.ts'
-import { findReachablePrimary, hasSuspicion, listDueProbes, listProbed } from './health.ts'
+import { findReachablePrimary, isPrimarySuspected, listInstancesToProbe, listProbedInstances } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import { createFailoverState, type FailoverState, type ProbedInstance } from './state.ts'
 
@@ -17,29 +17,29 @@
   kind: FaultKind
   atMs: number
   durationMs: number
-  a: number
-  b: number
+  instanceIndex: number
+  peerOrVmIndex: number
 }
 
 /** Deliberately wrong versions, against which the checks must fail. */
-export type Variant = 'correct' | 'ackWithoutWaiting' | 'promoteWithoutQuorum' | 'anyCandidate'
+export type DecisionVariant = 'correct' | 'ackWithoutWaiting' | 'promoteWithoutQuorum' | 'anyCandidate'
 
 export interface VirtualOptions {
   seed: number
   instances: number
   vms: number
   faults: readonly VirtualFault[]
-  variant?: Variant
+  variant?: DecisionVariant
   /** Whether single messages may be late by up to half a second while faults last. */
-  hasStragglers?: boolean
+  hasLateMessages?: boolean
   /** Time without faults at the end, within which writes must be acknowledged again. */
-  calmMs?: number
+  faultFreeMs?: number
 }
 
 export interface VirtualResult {
   violations: string[]
   acknowledged: number
-  promotions: number
+  promotionCount: number
   /** Virtual milliseconds from the end of the faults to the first acknowledged write begun after it; `null` for none. */
   recoveredAfterMs: number | null
 }
@@ -47,15 +47,15 @@
 const TICK_MS = 50
 const WRITE_INTERVAL_MS = 100
 const REPLICATION_INTERVAL_MS = 30
-const WAIT_INTERVAL_MS = 25
-const DURABLE_TIMEOUT_MS = 400
-const HEARTBEAT_KEEP_MS = 50
+const DURABILITY_POLL_INTERVAL_MS = 25
+const DURABILITY_TIMEOUT_MS = 400
+const CONTACT_AGE_ALLOWANCE_MS = 50
 /** Messages to a VM between two checks of its baseline. */
-const BASELINE_CHECK_INTERVAL = 3
+const MESSAGES_PER_BASELINE_CHECK = 3
 
-interface VirtualInstance { name: string, state: GroupState, frozenUntilMs: number, downUntilMs: number, heardAtMs: number }
+interface VirtualInstance { name: string, state: GroupState, frozenUntilMs: number, downUntilMs: number, primaryContactAtMs: number }
 interface VirtualVm { name: string, incarnation: number, failover: FailoverState, durability: DurabilityState, pausedUntilMs: number, writes: number }
-interface Acknowledged { id: string, position: LogPosition, startedAtMs: number, atMs: number }
+interface AcknowledgedWrite { id: string, position: LogPosition, startedAtMs: number, atMs: number }
 
 /** Runs one schedule of faults to its end. */
 export function runVirtualGroup (options: VirtualOptions): VirtualResult {
@@ -69,30 +69,30 @@
   readonly #instances: VirtualInstance[]
   readonly #vms: VirtualVm[]
   readonly #endpoints: Endpoint[]
-  readonly #acknowledged: Acknowledged[] = []
+  readonly #acknowledged: AcknowledgedWrite[] = []
   /** Latest position among the acknowledged writes up to each. */
   readonly #latestAcknowledged: LogPosition[] = []
   readonly #violations: string[] = []
   readonly #primaryByTerm = new Map<number, string>()
-  readonly #healedAtMs: number
+  readonly #faultsEndedAtMs: number
   #nowMs = 0
-  #order = 0
-  #messages = 0
+  #nextEventOrder = 0
+  #messageCount = 0
   #recoveredAtMs: number | null = null
 
   constructor (options: VirtualOptions) {
     this.#options = options
     this.#random = createSeededRandom(options.seed)
-    this.#healedAtMs = Math.max(500, ...options.faults.map(f => f.atMs + f.durationMs))
+    this.#faultsEndedAtMs = Math.max(500, ...options.faults.map(f => f.atMs + f.durationMs))
     const names = Array.from({ length: options.instances }, (_, i) => `db-${i + 1}`)
     const primary = createAddress(names[0]!)
-    this.#instances = names.map(name => ({ name, state: createGroupState(name, 1, primary), frozenUntilMs: 0, downUntilMs: 0, heardAtMs: 0 }))
+    this.#instances = names.map(name => ({ name, state: createGroupState(name, 1, primary), frozenUntilMs: 0, downUntilMs: 0, primaryContactAtMs: 0 }))
     this.#endpoints = names.map(name => ({ endpoint: name, host: 'host', port: 1, failureDomain: 'a', region: 'a', maxConnections: 20, slots: 3 }))
     this.#vms = Array.from({ length: options.vms }, (_, i) => this.#createVm(`vm-${i}`, 0, i))
   }
 
   run (): VirtualResult {
-    const endMs = this.#healedAtMs + (this.#options.calmMs ?? 6_000)
+    const endMs = this.#faultsEndedAtMs + (this.#options.faultFreeMs ?? 6_000)
     for (const f of this.#options.faults) this.#schedule(f.atMs, () => { this.#startFault(f) })
     this.#vms.forEach((_, i) => { this.#startVm(i) })
     for (const i of this.#instances) this.#runEvery(REPLICATION_INTERVAL_MS, () => { this.#requestShipment(i) })
@@ -103,13 +103,13 @@
       this.#checkPrimaries()
     }
     this.#checkNothingLost()
-    const recoveredAfterMs = this.#recoveredAtMs === null ? null : this.#recoveredAtMs - this.#healedAtMs
-    return { violations: this.#violations, acknowledged: this.#acknowledged.length, promotions: this.#primaryByTerm.size - 1, recoveredAfterMs }
+    const recoveredAfterMs = this.#recoveredAtMs === null ? null : this.#recoveredAtMs - this.#faultsEndedAtMs
+    return { violations: this.#violations, acknowledged: this.#acknowledged.length, promotionCount: this.#primaryByTerm.size - 1, recoveredAfterMs }
   }
 
   #createVm (name: string, incarnation: number, rank: number): VirtualVm {
     const failover = createFailoverState({ database: 'db', endpoints: this.#endpoints, promoterId: `${name}.${incarnation}`, seed: this.#options.seed + rank, nowMs: this.#nowMs, rank })
-    if (this.#options.variant === 'promoteWithoutQuorum') failover.quorum = 1
+    if (this.#options.variant === 'promoteWithoutQuorum') failover.quorumSize = 1
     const quorum = this.#options.variant === 'ackWithoutWaiting' ? 1 : Math.floor(this.#endpoints.length / 2) + 1
     const durability = createDurabilityState(this.#endpoints.map(e => e.endpoint), quorum)
     return { name, incarnation, failover, durability, pausedUntilMs: 0, writes: 0 }
@@ -118,18 +118,18 @@
   #startVm (index: number): void {
     const vm = this.#vms[index]!
     const isCurrent = (): boolean => this.#vms[index] === vm
-    const scheduleEach = (intervalMs: number, run: () => void): void => {
+    const scheduleOnVm = (intervalMs: number, run: () => void): void => {
       this.#runEvery(intervalMs, () => {
         if (isCurrent()) this.#runOnVm(vm, run)
       }, isCurrent)
     }
     let round = 0
-    scheduleEach(TICK_MS, () => {
+    scheduleOnVm(TICK_MS, () => {
       this.#tell(vm, { type: 'tick', rank: index })
-      if (hasSuspicion(vm.failover, this.#nowMs)) this.#probeAll(vm, listProbed(vm.failover))
+      if (isPrimarySuspected(vm.failover, this.#nowMs)) this.#probeAll(vm, listProbedInstances(vm.failover))
     })
-    scheduleEach(vm.failover.timings.probeIntervalMs, () => { this.#probeAll(vm, listDueProbes(vm.failover, round++)) })
-    scheduleEach(WRITE_INTERVAL_MS, () => { this.#write(vm) })
+    scheduleOnVm(vm.failover.timings.probeIntervalMs, () => { this.#probeAll(vm, listInstancesToProbe(vm.failover, round++)) })
+    scheduleOnVm(WRITE_INTERVAL_MS, () => { this.#write(vm) })
   }
 
   /** Runs at once, or when the VM's pause ends. */
@@ -146,12 +146,12 @@
   #tell (vm: VirtualVm, message: FailoverMessage): void {
     const { effects } = decideFailover(vm.failover, message, this.#nowMs)
     for (const e of effects) this.#runEffect(vm, e)
-    if (++this.#messages % BASELINE_CHECK_INTERVAL === 0) this.#checkBaseline(vm)
+    if (++this.#messageCount % MESSAGES_PER_BASELINE_CHECK === 0) this.#checkBaseline(vm)
   }
 
   /** What the last probes show of a quorum includes every write acknowledged before they were sent. */
   #checkBaseline (vm: VirtualVm): void {
-    const baseline = computeBaseline(listProbed(vm.failover).map(i => ({ ...i, isReachable: true })))
+    const baseline = computeBaseline(listProbedInstances(vm.failover).map(i => ({ ...i, isReachable: true })))
     if (baseline === undefined) return
     const index = this.#acknowledged.findLastIndex(a => a.atMs < baseline.atMs)
     const latest = this.#latestAcknowledged[index]
@@ -165,26 +165,26 @@
     const sentAtMs = this.#nowMs
     const { endpoint } = effect
     if (effect.type === 'follow') {
-      this.#request(vm, target, i => follow(i.state, effect.term, createAddress(effect.primary.endpoint)) ? this.#describe(i) : null, status => {
+      this.#request(vm, target, i => follow(i.state, effect.term, createAddress(effect.primary.endpoint)) ? this.#describeInstance(i) : null, status => {
         if (status !== null) this.#tell(vm, { type: 'probeAnswered', endpoint, sentAtMs, status })
       })
       return
     }
     const { promoter, term, type } = effect
     if (type === 'fence') {
-      this.#request(vm, target, i => fence(i.state, term, promoter) ? this.#describe(i) : null, status => {
+      this.#request(vm, target, i => fence(i.state, term, promoter) ? this.#describeInstance(i) : null, status => {
         this.#tell(vm, status === null ? { type: 'fenceRefused', endpoint, promoter } : { type: 'fenceGranted', endpoint, promoter, sentAtMs, status })
       })
       return
     }
-    const chosen = this.#options.variant === 'anyCandidate' ? this.#pickAnyFenced(promoter, target) : target
-    this.#request(vm, chosen, i => promote(i.state, term, promoter, createAddress(i.name)) ? this.#describe(i) : null, status => {
-      this.#tell(vm, status === null ? { type: 'promoteFailed', endpoint: chosen.name, promoter } : { type: 'promoteAnswered', endpoint: chosen.name, promoter, sentAtMs, status })
+    const promotedInstance = this.#options.variant === 'anyCandidate' ? this.#pickAnyFenced(promoter, target) : target
+    this.#request(vm, promotedInstance, i => promote(i.state, term, promoter, createAddress(i.name)) ? this.#describeInstance(i) : null, status => {
+      this.#tell(vm, status === null ? { type: 'promoteFailed', endpoint: promotedInstance.name, promoter } : { type: 'promoteAnswered', endpoint: promotedInstance.name, promoter, sentAtMs, status })
     })
   }
 
-  #pickAnyFenced (promoter: string, instead: VirtualInstance): VirtualInstance {
-    return this.#instances.findLast(i => i.state.promoter === promoter) ?? instead
+  #pickAnyFenced (promoter: string, fallback: VirtualInstance): VirtualInstance {
+    return this.#instances.findLast(i => i.state.promoter === promoter) ?? fallback
   }
 
   #probeAll (vm: VirtualVm, probed: readonly ProbedInstance[]): void {
@@ -201,7 +201,7 @@
       })
       return
     }
-    this.#request(vm, instance, i => this.#describe(i), status => { this.#tell(vm, { type: 'probeAnswered', endpoint, sentAtMs, status }) })
+    this.#request(vm, instance, i => this.#describeInstance(i), status => { this.#tell(vm, { type: 'probeAnswered', endpoint, sentAtMs, status }) })
   }
 
   #write (vm: VirtualVm): void {
@@ -210,10 +210,10 @@
     const id = `${vm.name}.${vm.incarnation}.${++vm.writes}`
     const startedAtMs = this.#nowMs
     const target = this.#instances.find(i => i.name === primary.endpoint.endpoint)!
-    let sent = false
+    let isAppended = false
     this.#request(vm, target, i => {
-      if (i.state.role !== 'primary' || sent) return null
-      sent = true
+      if (i.state.role !== 'primary' || isAppended) return null
+      isAppended = true
       return addEntry(i.state, [id])
     }, position => {
       if (position !== null) this.#waitDurable(vm, { id, startedAtMs, position, primary: target.name })
@@ -221,89 +221,89 @@
   }
 
   #waitDurable (vm: VirtualVm, { id, startedAtMs, position, primary }: { id: string, startedAtMs: number, position: LogPosition, primary: string }): void {
-    const waiter = addWaiter(vm.durability, position, primary)
-    const deadlineMs = this.#nowMs + DURABLE_TIMEOUT_MS
-    let open = true
-    const finish = (durable: boolean): void => {
-      if (!open) return
-      open = false
-      if (durable) this.#recordAcknowledged({ id, position, startedAtMs, atMs: this.#nowMs })
+    const waiterId = addWaiter(vm.durability, position, primary)
+    const deadlineMs = this.#nowMs + DURABILITY_TIMEOUT_MS
+    let isOpen = true
+    const finish = (isDurable: boolean): void => {
+      if (!isOpen) return
+      isOpen = false
+      if (isDurable) this.#recordAcknowledged({ id, position, startedAtMs, atMs: this.#nowMs })
     }
-    if (vm.durability.quorum === 1) finish(true)
+    if (vm.durability.quorumSize === 1) finish(true)
     const poll = (): void => {
-      if (!open) return
+      if (!isOpen) return
       if (this.#nowMs > deadlineMs) {
-        removeWaiter(vm.durability, waiter)
-        open = false
+        removeWaiter(vm.durability, waiterId)
+        isOpen = false
         return
       }
       for (const i of this.#instances.filter(each => each.name !== primary)) {
-        this.#request(vm, i, x => ({ term: x.state.term, logged: describeStatus(x.state).logged }), report => {
-          for (const o of recordReport(vm.durability, i.name, report)) {
-            if (o.id === waiter) finish(o.durable)
-            else this.#settled.get(vm)?.get(o.id)?.(o.durable)
+        this.#request(vm, i, polled => ({ term: polled.state.term, logged: describeStatus(polled.state).logged }), report => {
+          for (const outcome of recordReport(vm.durability, i.name, report)) {
+            if (outcome.id === waiterId) finish(outcome.isDurable)
+            else this.#finishersByVm.get(vm)?.get(outcome.id)?.(outcome.isDurable)
           }
         })
       }
-      this.#schedule(this.#nowMs + WAIT_INTERVAL_MS, () => { this.#runOnVm(vm, poll) })
+      this.#schedule(this.#nowMs + DURABILITY_POLL_INTERVAL_MS, () => { this.#runOnVm(vm, poll) })
     }
-    this.#readSettled(vm).set(waiter, finish)
+    this.#ensureFinishers(vm).set(waiterId, finish)
     poll()
   }
 
-  readonly #settled = new Map<VirtualVm, Map<number, (durable: boolean) => void>>()
+  readonly #finishersByVm = new Map<VirtualVm, Map<number, (isDurable: boolean) => void>>()
 
-  #readSettled (vm: VirtualVm): Map<number, (durable: boolean) => void> {
-    const known = this.#settled.get(vm) ?? new Map<number, (durable: boolean) => void>()
-    this.#settled.set(vm, known)
-    return known
+  #ensureFinishers (vm: VirtualVm): Map<number, (isDurable: boolean) => void> {
+    const finishers = this.#finishersByVm.get(vm) ?? new Map<number, (isDurable: boolean) => void>()
+    this.#finishersByVm.set(vm, finishers)
+    return finishers
   }
 
-  #recordAcknowledged (write: Acknowledged): void {
+  #recordAcknowledged (write: AcknowledgedWrite): void {
     const { term } = write.position
-    const newest = this.#acknowledged.find(a => a.position.term > term && a.atMs <= write.startedAtMs)
-    if (newest !== undefined) this.#violations.push(`${write.id} acknowledged in term ${term}, begun after ${newest.id} of term ${newest.position.term}`)
+    const newerTermWrite = this.#acknowledged.find(a => a.position.term > term && a.atMs <= write.startedAtMs)
+    if (newerTermWrite !== undefined) this.#violations.push(`${write.id} acknowledged in term ${term}, begun after ${newerTermWrite.id} of term ${newerTermWrite.position.term}`)
     this.#acknowledged.push(write)
     this.#latestAcknowledged.push(pickLaterPosition(this.#latestAcknowledged.at(-1) ?? zeroPosition, write.position))
-    if (write.startedAtMs >= this.#healedAtMs) this.#recoveredAtMs ??= this.#nowMs
+    if (write.startedAtMs >= this.#faultsEndedAtMs) this.#recoveredAtMs ??= this.#nowMs
   }
 
   #requestShipment (replica: VirtualInstance): void {
-    if (this.#isStopped(replica) || replica.state.role !== 'replica' || replica.state.primary === null) return
+    if (this.#isUnavailable(replica) || replica.state.role !== 'replica' || replica.state.primary === null) return
     const primary = this.#instances.find(i => i.name === replica.state.primary!.instance)!
     const request = createLogRequest(replica.state.term, replica.state.log)
     this.#sendTo(replica.name, primary, () => {
       const shipment = createShipment(primary.state, request, 50)
       if (shipment === null) return
       this.#sendTo(primary.name, replica, () => {
-        replica.heardAtMs = this.#nowMs
+        replica.primaryContactAtMs = this.#nowMs
         applyShipment(replica.state, shipment)
       })
     })
   }
 
   /** A request and its answer, each of which may be lost, late or repeated. */
-  #request<T> (vm: VirtualVm, target: VirtualInstance, run: (instance: VirtualInstance) => T, answer: (result: T) => void): void {
+  #request<T> (vm: VirtualVm, target: VirtualInstance, run: (instance: VirtualInstance) => T, handleResponse: (result: T) => void): void {
     this.#sendTo(vm.name, target, () => {
       const result = run(target)
-      this.#send(target.name, vm.name, () => { this.#runOnVm(vm, () => { answer(result) }) })
+      this.#send(target.name, vm.name, () => { this.#runOnVm(vm, () => { handleResponse(result) }) })
     })
   }
 
   #sendTo (from: string, target: VirtualInstance, run: () => void): void {
     this.#send(from, target.name, () => {
       if (target.downUntilMs > this.#nowMs) return
-      if (target.frozenUntilMs > this.#nowMs) this.#schedule(target.frozenUntilMs + this.#random() * 3, () => { this.#runUnlessStopped(target, run) })
+      if (target.frozenUntilMs > this.#nowMs) this.#schedule(target.frozenUntilMs + this.#random() * 3, () => { this.#runUnlessUnavailable(target, run) })
       else run()
     })
   }
 
-  #runUnlessStopped (target: VirtualInstance, run: () => void): void {
-    if (!this.#isStopped(target)) run()
+  #runUnlessUnavailable (target: VirtualInstance, run: () => void): void {
+    if (!this.#isUnavailable(target)) run()
   }
 
   #send (from: string, to: string, run: () => void): void {
-    if (this.#isCut(from, to) || this.#isLost()) return
+    if (this.#isCut(from, to) || this.#isMessageLost()) return
     const deliver = (): void => {
       if (!this.#isCut(from, to)) run()
     }
@@ -312,36 +312,36 @@
   }
 
   #pickDelayMs (from: string, to: string): number {
-    const isSlow = this.#isActive(f => f.kind === 'slowLink' && this.#isJoining(f, from, to))
-    const { hasStragglers = true } = this.#options
-    const isStraggling = hasStragglers && this.#nowMs < this.#healedAtMs && this.#random() < 0.02
-    return 0.5 + this.#random() * 8 + (isSlow ? 80 : 0) + (isStraggling ? this.#random() * 500 : 0)
+    const isSlow = this.#hasActiveFault(f => f.kind === 'slowLink' && this.#isOnLink(f, from, to))
+    const { hasLateMessages = true } = this.#options
+    const isLate = hasLateMessages && this.#nowMs < this.#faultsEndedAtMs && this.#random() < 0.02
+    return 0.5 + this.#random() * 8 + (isSlow ? 80 : 0) + (isLate ? this.#random() * 500 : 0)
   }
 
-  #isLost (): boolean {
-    return this.#isActive(f => f.kind === 'loss') && this.#random() < 0.3
+  #isMessageLost (): boolean {
+    return this.#hasActiveFault(f => f.kind === 'loss') && this.#random() < 0.3
   }
 
-  #isCut (x: string, y: string): boolean {
-    return this.#isActive(f => {
-      if (f.kind === 'isolateInstance') return [x, y].includes(this.#findName(f.a))
-      return (f.kind === 'cutVmLink' || f.kind === 'cutPeerLink') && this.#isJoining(f, x, y)
+  #isCut (from: string, to: string): boolean {
+    return this.#hasActiveFault(f => {
+      if (f.kind === 'isolateInstance') return [from, to].includes(this.#findInstanceName(f.instanceIndex))
+      return (f.kind === 'cutVmLink' || f.kind === 'cutPeerLink') && this.#isOnLink(f, from, to)
     })
   }
 
-  #isJoining (fault: VirtualFault, x: string, y: string): boolean {
-    const ends = fault.kind === 'cutVmLink' ? [this.#vms[fault.b % this.#vms.length]!.name, this.#findName(fault.a)] : [this.#findName(fault.a), this.#findName(fault.b)]
-    return ends.includes(x) && ends.includes(y)
+  #isOnLink (fault: VirtualFault, from: string, to: string): boolean {
+    const ends = fault.kind === 'cutVmLink' ? [this.#vms[fault.peerOrVmIndex % this.#vms.length]!.name, this.#findInstanceName(fault.instanceIndex)] : [this.#findInstanceName(fault.instanceIndex), this.#findInstanceName(fault.peerOrVmIndex)]
+    return ends.includes(from) && ends.includes(to)
   }
 
-  #isActive (matches: (fault: VirtualFault) => boolean): boolean {
+  #hasActiveFault (matches: (fault: VirtualFault) => boolean): boolean {
     return this.#options.faults.some(f => f.atMs <= this.#nowMs && this.#nowMs < f.atMs + f.durationMs && matches(f))
   }
 
   #startFault (fault: VirtualFault): void {
-    const instance = this.#instances[fault.a % this.#instances.length]!
+    const instance = this.#instances[fault.instanceIndex % this.#instances.length]!
     const untilMs = fault.atMs + fault.durationMs
-    const index = fault.b % this.#vms.length
+    const index = fault.peerOrVmIndex % this.#vms.length
     const vm = this.#vms[index]!
     if (fault.kind === 'killInstance') instance.downUntilMs = Math.max(instance.downUntilMs, untilMs)
     if (fault.kind === 'freezeInstance') instance.frozenUntilMs = Math.max(instance.frozenUntilMs, untilMs)
@@ -355,49 +355,49 @@
   #checkPrimaries (): void {
     for (const { name, state } of this.#instances) {
       if (state.role !== 'primary') continue
-      const known = this.#primaryByTerm.get(state.term)
-      if (known === name) continue
-      if (known !== undefined) this.#violations.push(`term ${state.term} has two primaries: ${known}, ${name}`)
+      const knownPrimary = this.#primaryByTerm.get(state.term)
+      if (knownPrimary === name) continue
+      if (knownPrimary !== undefined) this.#violations.push(`term ${state.term} has two primaries: ${knownPrimary}, ${name}`)
       this.#primaryByTerm.set(state.term, name)
-      this.#checkHolds(name, state)
+      this.#checkHoldsAcknowledged(name, state)
     }
   }
 
   /** A new primary that the group can use holds what was acknowledged in older terms. */
-  #checkHolds (name: string, state: GroupState): void {
-    const held = new Set(state.log.flatMap(e => e.statements))
-    const missing = this.#acknowledged.find(a => a.position.term < state.term && !held.has(a.id))
-    if (missing !== undefined) this.#violations.push(`${name} became primary of term ${state.term} without ${missing.id}`)
+  #checkHoldsAcknowledged (name: string, state: GroupState): void {
+    const heldWriteIds = new Set(state.log.flatMap(e => e.statements))
+    const missingWrite = this.#acknowledged.find(a => a.position.term < state.term && !heldWriteIds.has(a.id))
+    if (missingWrite !== undefined) this.#violations.push(`${name} became primary of term ${state.term} without ${missingWrite.id}`)
   }
 
   #checkNothingLost (): void {
-    const newest = this.#instances.filter(i => i.state.role === 'primary').sort((a, b) => b.state.term - a.state.term)[0]
-    if (newest === undefined) return
-    const held = newest.state.log.flatMap(e => e.statements)
-    const missing = this.#acknowledged.filter(a => a.position.term <= newest.state.term && !held.includes(a.id))
-    if (missing.length > 0) this.#violations.push(`${missing[0]!.id} and ${missing.length - 1} more are missing at the end`)
-    if (new Set(held).size !== held.length) this.#violations.push('an entry stands twice in the log')
+    const newestPrimary = this.#instances.filter(i => i.state.role === 'primary').sort((a, b) => b.state.term - a.state.term)[0]
+    if (newestPrimary === undefined) return
+    const heldWriteIds = newestPrimary.state.log.flatMap(e => e.statements)
+    const missingWrites = this.#acknowledged.filter(a => a.position.term <= newestPrimary.state.term && !heldWriteIds.includes(a.id))
+    if (missingWrites.length > 0) this.#violations.push(`${missingWrites[0]!.id} and ${missingWrites.length - 1} more are missing at the end`)
+    if (new Set(heldWriteIds).size !== heldWriteIds.length) this.#violations.push('an entry stands twice in the log')
   }
 
   #isDone (): boolean {
     return this.#recoveredAtMs !== null && this.#nowMs > this.#recoveredAtMs + 300
   }
 
-  #isStopped (i: VirtualInstance): boolean {
+  #isUnavailable (i: VirtualInstance): boolean {
     return i.downUntilMs > this.#nowMs || i.frozenUntilMs > this.#nowMs
   }
 
-  #describe (i: VirtualInstance): InstanceStatus {
+  #describeInstance (i: VirtualInstance): InstanceStatus {
     const status = describeStatus(i.state)
-    return status.role === 'replica' ? { ...status, primaryHeardMs: Math.max(0, this.#nowMs - i.heardAtMs - HEARTBEAT_KEEP_MS) } : status
+    return status.role === 'replica' ? { ...status, primaryHeardMs: Math.max(0, this.#nowMs - i.primaryContactAtMs - CONTACT_AGE_ALLOWANCE_MS) } : status
   }
 
-  #findName (index: number): string {
+  #findInstanceName (index: number): string {
     return this.#instances[index % this.#instances.length]!.name
   }
 
   #schedule (atMs: number, run: () => void): void {
-    const event = { atMs: Math.max(atMs, this.#nowMs), order: this.#order++, run }
+    const event = { atMs: Math.max(atMs, this.#nowMs), order: this.#nextEventOrder++, run }
     let low = 0
     let high = this.#events.length
     while (low < high) {
@@ -408,9 +408,9 @@
     this.#events.splice(low, 0, event)
   }
 
-  #runEvery (intervalMs: number, run: () => void, goesOn: () => boolean = () => true): void {
+  #runEvery (intervalMs: number, run: () => void, canContinue: () => boolean = () => true): void {
     const runNext = (): void => {
-      if (!goesOn()) return
+      if (!canContinue()) return
       run()
       this.#schedule(this.#nowMs + intervalMs * (0.9 + this.#random() * 0.2), runNext)
     }
