--- a/packages/proxy/src/failover/control-connection.ts
+++ b/packages/proxy/src/failover/control-connection.ts
@@ -9,13 +9,13 @@
   connectTimeoutMs?: number
 }
 
-/** One connection to an instance for group statements; it opens itself again when it is next used. */
+/** A connection to an instance for group statements. After a loss it is opened again by the next query. */
 export interface ControlConnection {
   /**
    * Runs a group statement and returns the JSON text of its `status` column. Statements run in order.
    *
-   * @throws InstanceRefusalError with the instance's error number
-   * @throws InstanceUnreachableError when it did not answer in time, or the connection was lost
+   * @throws InstanceRefusalError when the instance returns an error; has its error number
+   * @throws InstanceUnreachableError when the instance does not respond in time, or the connection is refused or lost
    */
   query: (sql: string, timeoutMs: number) => Promise<string>
   stop: () => void
@@ -30,7 +30,7 @@
   sqlState?: string
 }
 
-/** @example const connection = createControlConnection({ endpoint, user: 'camphorpitch', password: '' }) */
+/** Creates a connection that is opened by its first query. @example const connection = createControlConnection({ endpoint, user: 'camphorpitch', password: '' }) */
 export function createControlConnection (options: ControlConnectionOptions): ControlConnection {
   let currentConnection: Connection | null = null
   const discardConnection = (connection: Connection): void => {
@@ -63,11 +63,11 @@
   return connection
 }
 
-/** Rejects as soon as the connection is gone, which the library does not do for a connection that is destroyed. */
+/** Runs a query that rejects as soon as its connection closes; the library leaves queries of a destroyed connection pending. */
 async function runQuery (connection: Connection, sql: string): Promise<string> {
   return await new Promise((resolve, reject) => {
     const { stream } = connection as unknown as { stream: NodeJS.EventEmitter }
-    const handleClose = (): void => { reject(new Error('connection closed')) }
+    const handleClose = (): void => { reject(new Error('control connection closed before the response')) }
     stream.once('close', handleClose)
     connection.query<RowDataPacket[]>(sql, (error, rows) => {
       stream.removeListener('close', handleClose)
@@ -82,5 +82,5 @@
     return new InstanceRefusalError(`${endpoint}: ${cause.message}`, { cause, props: { errno: cause.errno } })
   }
   discardConnection()
-  return new InstanceUnreachableError(`${endpoint}: no answer`, { cause, props: { refused: cause.code === CONNECTION_REFUSED_CODE } })
+  return new InstanceUnreachableError(`${endpoint}: no response from the instance`, { cause, props: { refused: cause.code === CONNECTION_REFUSED_CODE } })
 }
--- a/packages/proxy/src/failover/decide-failover.ts
+++ b/packages/proxy/src/failover/decide-failover.ts
@@ -8,10 +8,10 @@
 /**
  * Decides when to change the primary of a database group, and how.
  *
- * A promoter raises the term on a quorum of the instances, which from then on take nothing from an
- * older primary, promotes the one among them whose log ends last, and points the others at it. An
- * instance grants a term to one promoter only, so a term has at most one primary whoever else
- * promotes at the same time; rank and back-off only keep promoters out of each other's way.
+ * A promoter raises the term on a quorum of the instances, which from then on accept nothing from a
+ * primary of an older term, promotes the one among them whose log ends last, and makes the others
+ * follow it. An instance grants a term to one promoter only, so a term has at most one primary even if
+ * several VMs promote at the same time; rank and backoff only make competing promotions rare.
  */
 export function decideFailover (state: FailoverState, message: FailoverMessage, nowMs: number): Step<FailoverState, FailoverEffect> {
   return { state, effects: handleMessage(state, message, nowMs) }
@@ -59,7 +59,7 @@
   return effects
 }
 
-/** After a pause of this process, answers may wait unread: nobody else's silence counts. */
+/** Restarts the times without a response after a pause of this process, since responses may have arrived during it but are not read yet. */
 function resetUnresponsiveTimes (state: FailoverState, nowMs: number): void {
   for (const i of listProbedInstances(state)) {
     if (i.unresponsiveSinceMs !== null) i.unresponsiveSinceMs = nowMs
@@ -68,6 +68,7 @@
   if (state.outage !== null) state.outage.sinceMs = nowMs
 }
 
+/** Notes the beginning, the end or a new reason of an outage. */
 function updateOutage (state: FailoverState, nowMs: number): FailoverEffect[] {
   const reason = findOutageReason(state, nowMs)
   const previousOutage = state.outage
@@ -94,7 +95,7 @@
   return isPrimaryLeaving(state, primary, nowMs) ? 'primary leaving' : null
 }
 
-/** Why this VM should now raise the term; `null` when it should not. */
+/** Why this VM should start an election now; `null` when it should not. */
 function findElectionReason (state: FailoverState, nowMs: number): string | null {
   const { outage, timings } = state
   if (outage === null || !canStartElection(state, nowMs)) return null
@@ -110,7 +111,7 @@
   return isElectionDue ? outage.reason : null
 }
 
-/** Without a quorum in reach an attempt would only unsettle those instances that it reaches. */
+/** Whether an election may start. Without a reachable quorum it would only fence the instances that it reaches, and could not promote one. */
 function canStartElection (state: FailoverState, nowMs: number): boolean {
   return state.election === null && nowMs >= state.nextElectionNotBeforeMs && countReachableInstances(state, nowMs) >= state.quorumSize
 }
--- a/packages/proxy/src/failover/durability-watch.ts
+++ b/packages/proxy/src/failover/durability-watch.ts
@@ -2,8 +2,11 @@
 import type { ControlConnection } from './control-connection.ts'
 import { addWaiter, createDurabilityState, findNextAwaitedPosition, removeSettledWaiters, recordReport, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
 
+/** Longest time for which an instance holds back the response to one `GROUP WAIT`. */
 const WAIT_TIMEOUT_MS = 500
+/** Time beyond that in which the response must arrive. */
 const RESPONSE_MARGIN_MS = 500
+/** Pause after a failed `GROUP WAIT`. */
 const RETRY_INTERVAL_MS = 50
 
 export interface DurabilityWatchOptions {
@@ -11,11 +14,17 @@
   quorumSize: number
 }
 
-/** Waits for positions to be held by a quorum, with one outstanding `GROUP WAIT` for each instance. */
+/** Waits until a quorum holds given positions, with at most one `GROUP WAIT` in flight for each instance. */
 export interface DurabilityWatch {
+  /**
+   * Resolves to true once `position` is durable, to false when it cannot become durable or did not within `timeoutMs`.
+   *
+   * @param primary the primary in the position's term, which holds it already; `null` when that is not known
+   */
   wait: (position: LogPosition, primary: string | null, timeoutMs: number) => Promise<boolean>
-  /** Takes what a probe learnt of an instance's log. */
+  /** Applies the state of an instance's log that a probe returned. */
   recordReport: (instance: string, report: LogReport) => void
+  /** Resolves all pending waits to false. */
   stop: () => void
 }
 
@@ -61,6 +70,7 @@
   }
 }
 
+/** Waits at the instance for `position`; `null` when the instance did not respond or returned an error. */
 async function requestLogReport (connection: ControlConnection, position: LogPosition): Promise<LogReport | null> {
   try {
     const text = await connection.query(formatWait(position, WAIT_TIMEOUT_MS), WAIT_TIMEOUT_MS + RESPONSE_MARGIN_MS)
--- a/packages/proxy/src/failover/durability.ts
+++ b/packages/proxy/src/failover/durability.ts
@@ -1,6 +1,6 @@
 import { comparePositions, type LogPosition } from '@camphorpitch/wire'
 
-/** What an instance said of its log: it has promised `term` and its log ends at `logged`. */
+/** State of an instance's log: the instance has promised `term` and its log ends at `logged`. */
 export interface LogReport {
   term: number
   logged: LogPosition
@@ -8,24 +8,26 @@
 
 interface DurabilityWaiter {
   position: LogPosition
-  /** Instances, the primary apart, that must hold the position. */
+  /** Number of instances, not counting the primary, that must hold the position. */
   neededHolderCount: number
   primary: string | null
+  /** Instances, other than the primary, that hold the position. */
   holders: Set<string>
-  /** Instances that have promised a newer term without having been seen to hold the position. */
+  /** Instances that promised a newer term before they were known to hold the position; they can no longer count as holders. */
   instancesInNewerTerm: Set<string>
 }
 
+/** How a wait ended: whether its position is durable. */
 export interface DurabilityOutcome {
   id: number
   isDurable: boolean
 }
 
 /**
- * Counts on which instances a write's position is held.
+ * Tracks which instances hold the position of each pending write.
  *
- * An entry that a quorum held while none of it had promised a newer term is in the log of every
- * later primary, since a later primary's quorum shares an instance with this one.
+ * An entry that every instance of a quorum held before it promised a newer term is in the log of
+ * every later primary, since the quorum that grants a later term shares an instance with this one.
  */
 export interface DurabilityState {
   instances: readonly string[]
@@ -39,9 +41,10 @@
 }
 
 /**
- * Begins to wait for a position.
+ * Adds a wait for a position.
  *
  * @param primary the instance that is primary in the position's term, which holds it already; `null` when that is not known
+ * @returns the id of the wait
  */
 export function addWaiter (state: DurabilityState, position: LogPosition, primary: string | null): number {
   const neededHolderCount = primary === null ? state.quorumSize : state.quorumSize - 1
@@ -54,13 +57,13 @@
   state.waiters.delete(id)
 }
 
-/** Takes a report; returns the waits that it ends. */
+/** Applies a report to all waits. Removes and returns the waits that it ends. */
 export function recordReport (state: DurabilityState, instance: string, report: LogReport): DurabilityOutcome[] {
   for (const w of state.waiters.values()) recordWaiterReport(w, instance, report)
   return removeSettledWaiters(state)
 }
 
-/** The waits that are over, which are removed. */
+/** Removes and returns the waits whose position is durable, or can no longer become durable. */
 export function removeSettledWaiters (state: DurabilityState): DurabilityOutcome[] {
   const outcomes: DurabilityOutcome[] = []
   for (const [id, w] of state.waiters) {
@@ -80,7 +83,7 @@
   if (isHeld) waiter.holders.add(instance)
 }
 
-/** The first position that this instance is still to hold; `undefined` when no wait depends on it. */
+/** The earliest awaited position that this instance is not known to hold; `undefined` when no wait depends on the instance. */
 export function findNextAwaitedPosition (state: DurabilityState, instance: string): LogPosition | undefined {
   const pendingWaiters = [...state.waiters.values()].filter(w => instance !== w.primary && !w.holders.has(instance) && !w.instancesInNewerTerm.has(instance))
   return pendingWaiters.map(w => w.position).sort(comparePositions)[0]
--- a/packages/proxy/src/failover/election.ts
+++ b/packages/proxy/src/failover/election.ts
@@ -3,9 +3,9 @@
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import type { Election, FailoverState, ProbedInstance } from './state.ts'
 
-/** The steps of one attempt to raise the term, from the first fence to the chosen candidate. */
+/** The steps of one attempt to raise the term, from the first fence to the promotion of a candidate. */
 
-/** Asks every instance for a new term. */
+/** Starts an election: requests a grant of a new term from every instance. */
 export function startElection (state: FailoverState, reason: string, nowMs: number): FailoverEffect[] {
   state.electionCount++
   const primary = findUsablePrimary(state)
@@ -24,7 +24,7 @@
   return [{ type: 'log', stage: 'electionStarted', fields: { reason, term, promoter, rank: state.rank } }, ...fenceEffects]
 }
 
-/** Counts a granted term; with a quorum of them, promotes the instance whose log ends last. */
+/** Records that an instance has granted the term; once a quorum has, promotes the instance whose log ends last. */
 export function handleFenceGrant (state: FailoverState, instance: ProbedInstance, { promoter, sentAtMs, status }: Extract<FailoverMessage, { type: 'fenceGranted' }>): FailoverEffect[] {
   const { election } = state
   const { endpoint } = instance.endpoint
@@ -43,7 +43,7 @@
   return effects
 }
 
-/** The granting instance whose log ends last; among equals one that stays, then the one that answered first. */
+/** The granting instance whose log ends last; among equals one that is not leaving, then the one that granted first. */
 function pickCandidate (state: FailoverState, election: Election): string {
   const grantedStatuses = [...election.grants.entries()]
   const isStaying = (endpoint: string) => state.instances.get(endpoint)?.endpoint.state !== 'leaving'
@@ -54,7 +54,7 @@
   })[0]
 }
 
-/** Gives an attempt up; the next one waits for a random time that doubles with each failure. */
+/** Abandons an attempt; the next one waits for a random backoff that doubles with each failure. */
 export function handleElectionFailure (state: FailoverState, promoter: string, reason: string, nowMs: number): FailoverEffect[] {
   const { election, timings } = state
   if (election === null || election.promoter !== promoter) return []
--- a/packages/proxy/src/failover/failover.test.ts
+++ b/packages/proxy/src/failover/failover.test.ts
@@ -3,7 +3,7 @@
 import { runVirtualGroup, type FaultKind, type VirtualFault, type VirtualOptions, type VirtualResult, type DecisionVariant } from './virtual-group.ts'
 import { TOLERATED_PAUSE_MS } from './timings.ts'
 
-/** Other seeds and more runs may be asked for; a failure prints its seed. */
+/** Other seeds and more runs can be set in the environment; a failure prints its seed. */
 const SEED = Number(process.env.FAILOVER_SEED ?? 20_240_917)
 const RUNS = Number(process.env.FAILOVER_RUNS ?? 1_000)
 const RECOVERY_MS = 5_000
@@ -29,7 +29,7 @@
 }
 
 describe('failover decision', () => {
-  it(`loses no acknowledged write and recovers, over ${RUNS} schedules of faults`, () => {
+  it(`a group loses no acknowledged write and recovers in each of ${RUNS} random fault schedules`, () => {
     let promotionCount = 0
     let acknowledgedCount = 0
     fc.assert(fc.property(scheduleArbitrary, options => {
@@ -44,12 +44,12 @@
   })
 
   for (const variant of ['ackWithoutWaiting', 'promoteWithoutQuorum', 'anyCandidate'] as const) {
-    it(`is caught when wrong: ${variant}`, () => {
+    it(`the checks find a violation in the faulty variant ${variant}`, () => {
       expect(hasViolation(variant)).to.equal(true)
     })
   }
 
-  it('does not promote for a pause of the primary, of a VM or of a link that is tolerated', () => {
+  it('no VM promotes when the primary, a VM or a link is paused or slow for no longer than the tolerated time', () => {
     const kind = fc.constantFrom<FaultKind>('freezeInstance', 'pauseVm', 'isolateInstance', 'slowLink')
     fc.assert(fc.property(fc.integer(), kind, fc.integer({ min: 50, max: TOLERATED_PAUSE_MS }), fc.integer({ min: 500, max: 900 }), (seed, kind, durationMs, atMs) => {
       const result: VirtualResult = runVirtualGroup({ seed, instances: 3, vms: 3, faults: [{ kind, atMs, durationMs, instanceIndex: 0, peerOrVmIndex: 1 }], hasLateMessages: false, faultFreeMs: 1_500 })
--- a/packages/proxy/src/failover/group-view.test.ts
+++ b/packages/proxy/src/failover/group-view.test.ts
@@ -84,7 +84,7 @@
     systems = []
   })
 
-  it('acknowledges again after its primary is killed, and keeps what was acknowledged', async () => {
+  it('a group acknowledges writes again after its primary is killed, and keeps the writes acknowledged before', async () => {
     const database = await startGroup(3)
     const [first, second] = [startView(database, 0), startView(database, 1)]
     await writeDurably(first, 'CREATE TABLE t (id INTEGER)')
@@ -100,7 +100,7 @@
     expect((await first.readBaseline(WAIT_MS)).term).to.equal(position.term)
   })
 
-  it('keeps its primary through a freeze that is tolerated, and makes one that outlasts it follow', async () => {
+  it('a group keeps its primary through a tolerated freeze, replaces it after a longer one and then makes it follow', async () => {
     const database = await startGroup(3)
     const view = startView(database)
     await writeDurably(view, 'CREATE TABLE t (id INTEGER)')
@@ -117,7 +117,7 @@
     expect(await readIds(group[0]!)).to.deep.equal([1, 2])
   })
 
-  it('acknowledges nothing of an old primary that one VM still reaches', async () => {
+  it('a view acknowledges no write of an old primary that it reaches but that is cut off from its replicas', async () => {
     const database = await startGroup(3)
     const view = startView(database)
     await writeDurably(view, 'CREATE TABLE t (id INTEGER)')
@@ -135,7 +135,7 @@
     expect(await readIds(group[0]!)).to.deep.equal([2])
   })
 
-  it('acknowledges nothing of an old primary after another VM, which cannot reach it, has promoted', async () => {
+  it('a view acknowledges no write of an old primary after a VM that cannot reach it has promoted another', async () => {
     const database = await startGroup(3)
     const viewOfOldPrimary = startView(database, 1)
     await writeDurably(viewOfOldPrimary, 'CREATE TABLE t (id INTEGER)')
@@ -152,7 +152,7 @@
     expect(await readIds(group[0]!)).to.deep.equal([1, 3])
   })
 
-  it('takes over from a promoter that fenced all instances and died, with two promoters at once', async () => {
+  it('two promoters elect one primary after another promoter fenced all instances and died', async () => {
     const database = await startGroup(3)
     for (const e of group) {
       const connection = await connectTo(e)
@@ -168,7 +168,7 @@
     expect(primaries.map(e => e.instance)).to.deep.equal([first.findPrimary()!.endpoint.endpoint])
   })
 
-  it('moves the primary away from a leaving instance, and loses nothing', async () => {
+  it('a view moves the primary away from a leaving instance and loses no acknowledged write', async () => {
     const database = await startGroup(3)
     const before = startView(database)
     await writeDurably(before, 'CREATE TABLE t (id INTEGER)')
@@ -184,7 +184,7 @@
     expect(view.findPrimary()!.endpoint.endpoint).to.not.equal(leavingInstance)
   })
 
-  it('serves a group of one instance, and says when no quorum answers', async () => {
+  it('a view serves a group of one instance, and throws NoQuorumError when no quorum responds', async () => {
     const database = await startGroup(1)
     const view = startView(database)
     const position = await writeDurably(view, 'CREATE TABLE t (id INTEGER)')
--- a/packages/proxy/src/failover/group-view.ts
+++ b/packages/proxy/src/failover/group-view.ts
@@ -5,31 +5,40 @@
   endpoint: Endpoint
   /** Last status received; `null` before the first. */
   status: InstanceStatus | null
-  /** Monotonic milliseconds at which the probe that brought `status` was sent. */
+  /** Monotonic milliseconds at which the probe that returned `status` was sent. */
   probedAtMs: number
-  /** False after probes have gone unanswered for the failure threshold. */
+  /** False once probes have had no response, or have been refused a connection, for longer than the threshold. */
   isReachable: boolean
 }
 
-/** What a VM that serves a database knows of its group. One per served database. */
+/** What a serving VM knows of a database group. A VM has one view for each database that it serves. */
 export abstract class GroupView {
   abstract listInstances (): readonly InstanceView[]
-  /** The reachable instance that says it is primary in the highest term known; its writes may still turn out not to be durable. */
+  /** The reachable instance that reports to be primary in the highest term; its writes may still turn out not to be durable. */
   abstract findPrimary (): { endpoint: Endpoint, term: number } | undefined
-  /** Status from a probe that begins after this call; concurrent callers share one probe. Rejects when the instance is unreachable. */
+  /**
+   * Returns the status from a probe that begins after this call; concurrent calls share one probe.
+   *
+   * @throws InstanceUnreachableError when the instance does not respond or is not in the group
+   * @throws InstanceRefusalError when the instance returns an error
+   */
   abstract probeInstance (endpoint: string): Promise<InstanceStatus>
   /**
-   * A position that includes every write acknowledged before this call: the latest over a majority
-   * of the instances, each probed after the call. Rejects when no majority answers within `timeoutMs`.
+   * Returns a position that includes every write acknowledged before this call: the latest over a
+   * majority of the instances, each probed after the call.
+   *
+   * @throws NoQuorumError when no majority responds within `timeoutMs`
    */
   abstract readBaseline (timeoutMs: number): Promise<LogPosition>
   /**
-   * Resolves true once an instance other than the primary of `position.term` holds `position` in
-   * that term, so that the entry survives any promotion; false when that did not happen in time.
+   * Resolves to true once a quorum of instances, the primary of `position.term` included, holds
+   * `position` in that term, so that the entry survives any promotion; to false when that cannot
+   * happen any more, or did not happen within `timeoutMs`.
    */
   abstract waitDurable (position: LogPosition, timeoutMs: number): Promise<boolean>
-  /** When the group is expected to accept writes again, in milliseconds from now; for refusals. */
+  /** Milliseconds until the group is expected to accept writes again, for refusals; 0 when it accepts them now. */
   abstract estimateRecoveryMs (): number
+  /** Calls `listener` whenever the primary or the reachability of an instance may have changed. */
   abstract subscribe (listener: () => void): void
   abstract stop (): void
 }
--- a/packages/proxy/src/failover/repair.ts
+++ b/packages/proxy/src/failover/repair.ts
@@ -3,8 +3,8 @@
 import type { FailoverState, ProbedInstance } from './state.ts'
 
 /**
- * Points instances that are fenced, late or still in an older term at the primary of the highest
- * term. Every serving VM does so; an instance refuses what is out of date.
+ * Returns commands for instances that are fenced or in an older term to follow the primary of the
+ * highest term. Every serving VM sends them; an instance refuses a command of an outdated term.
  */
 export function listFollowEffects (state: FailoverState, nowMs: number): FailoverEffect[] {
   const primary = findReachablePrimary(state, nowMs)
@@ -22,6 +22,7 @@
   return effects
 }
 
+/** Whether the instance follows no primary in `term`. */
 function isFollowRequired ({ status }: ProbedInstance, term: number): boolean {
   if (status === null) return false
   return status.term < term || status.role === 'fenced'
--- a/packages/proxy/src/failover/shared-probe.ts
+++ b/packages/proxy/src/failover/shared-probe.ts
@@ -1,5 +1,6 @@
 /**
- * Shares a probe among concurrent callers: each gets the result of one that began after its call.
+ * Returns a function that shares one probe among concurrent calls: each call gets the result of a
+ * probe that began after the call. A call during a running probe waits for the next one.
  *
  * @example const probe = createSharedProbe(() => connection.query('SHOW GROUP STATUS', 500))
  */
--- a/packages/proxy/src/failover/start-group-view.ts
+++ b/packages/proxy/src/failover/start-group-view.ts
@@ -14,11 +14,11 @@
 import type { FailoverTimings } from './timings.ts'
 
 const TICK_INTERVAL_MS = 50
-/** After this long without an answer a control connection is given up and opened anew. */
+/** A control connection without a response to a probe for this long is closed; the next probe opens a new one. */
 const PROBE_TIMEOUT_MS = 2_000
 const COMMAND_TIMEOUT_MS = 1_000
 const PROMOTER_ID_RANDOM_BYTES = 6
-/** Rank of a VM without a place, which promotes after those that have one. */
+/** Rank of a VM that is not among those that serve the database; it promotes after those with a lower rank. */
 const RANK_WITHOUT_PLACE = 5
 
 export interface GroupViewOptions {
@@ -26,29 +26,28 @@
   clock: Clock
   logger: Logger
   database: Database
-  /** Name of this VM and number of this run of it, for logs; safety does not rest on them. */
+  /** Name of this VM and number of its current run, for logs; safety does not depend on them. */
   vm: string
   incarnation: number
-  /** This VM's place among those that serve the database; 0 promotes first, a negative number is no place. */
+  /** This VM's place among those that serve the database; 0 promotes first, a negative number means that it has no place. */
   readRank?: () => number
-  /** Seed of the back-off between elections. */
+  /** Seed of the backoff between elections. */
   seed?: number
   timings?: Partial<FailoverTimings>
   metrics?: Pick<Metrics, 'promotions' | 'outage'>
 }
 
 interface InstanceConnections {
-  /** Carries probes and the statements that steer the group. */
+  /** Carries probes and the statements that fence, promote and follow. */
   commandConnection: ControlConnection
-  /** Carries `GROUP WAIT`, which may take long. */
+  /** Carries `GROUP WAIT`, which may take long and must not delay probes. */
   durabilityConnection: ControlConnection
   probe: () => Promise<InstanceStatus>
 }
 
 /**
- * Watches a database group, changes its primary when it is lost, and answers what this VM knows.
- *
- * Holds at most two control connections to each instance.
+ * Starts to probe a database group, to replace its primary when it is lost, and to report what this
+ * VM knows of the group. Holds at most two control connections to each instance until it is stopped.
  *
  * @example const view = startGroupView({ system, clock, logger, database, vm: 'vm-1', incarnation: 7 })
  */
@@ -56,7 +55,7 @@
   return new ProbedGroupView(options)
 }
 
-/** Unique to this view: a grant to an earlier run of the same VM must not count for this one. */
+/** Creates an id unique to this view, since a grant to an earlier run of the same VM must not count for this one. */
 function createPromoterId (vm: string, incarnation: number): string {
   return `${vm}.${incarnation}.${randomBytes(PROMOTER_ID_RANDOM_BYTES).toString('hex')}`
 }
@@ -108,7 +107,7 @@
 
   override async probeInstance (endpoint: string): Promise<InstanceStatus> {
     const connections = this.#connections.get(endpoint)
-    if (connections === undefined) throw new InstanceUnreachableError(`${endpoint}: not of this group`)
+    if (connections === undefined) throw new InstanceUnreachableError(`${endpoint}: not an instance of this group`)
     return await connections.probe()
   }
 
@@ -116,7 +115,7 @@
     const { quorumSize } = this.#readState()
     const positions: LogPosition[] = []
     return await new Promise((resolve, reject) => {
-      const rejectWithoutQuorum = (): void => { reject(new NoQuorumError(`${this.#options.database.database}: fewer than ${quorumSize} instances answered`)) }
+      const rejectWithoutQuorum = (): void => { reject(new NoQuorumError(`${this.#options.database.database}: fewer than ${quorumSize} instances responded in time`)) }
       const timer = setTimeout(rejectWithoutQuorum, timeoutMs)
       let pendingProbeCount = this.#connections.size
       const handleProbeResult = (status: InstanceStatus | null): void => {
@@ -179,7 +178,7 @@
   }
 
   async #probe (endpoint: string): Promise<InstanceStatus> {
-    if (this.#isStopped) throw new InstanceUnreachableError(`${endpoint}: stopped`)
+    if (this.#isStopped) throw new InstanceUnreachableError(`${endpoint}: the group view has been stopped`)
     const sentAtMs = this.#options.clock.readNow()
     this.#tell({ type: 'probeSent', endpoint })
     try {
@@ -214,7 +213,7 @@
 
   #logStage (stage: FailoverStage, fields: Record<string, unknown>): void {
     const { logger, metrics, database: { database } } = this.#options
-    logger.info('failover', { database, stage, ...fields })
+    logger.info('failover stage reached', { database, stage, ...fields })
     if (stage === 'promoted') metrics?.promotions.inc({ database })
     if (stage === 'primaryLost') metrics?.outage.set({ database }, 1)
     if (stage === 'recovered') metrics?.outage.set({ database }, 0)
--- a/packages/proxy/src/failover/timings.ts
+++ b/packages/proxy/src/failover/timings.ts
@@ -1,32 +1,34 @@
-/** Times that govern failover, in milliseconds. */
+/** Intervals and thresholds of failover, in milliseconds. */
 export interface FailoverTimings {
-  /** Between probes of the primary; replicas are probed half as often while all is well. */
+  /** Interval between probes of the primary; replicas are probed half as often while the group has a usable primary. */
   probeIntervalMs: number
-  /** Silence of the primary after which all instances are probed with each tick. */
+  /** Time without a response from the primary after which all instances are probed on every tick. */
   suspicionThresholdMs: number
-  /** Silence of the primary after which it counts as lost; longer than any pause that must not cause a promotion. */
+  /** Time without a response after which an instance is unreachable, and a primary lost; longer than any pause that must not cause a promotion. */
   unreachableThresholdMs: number
-  /** The same when its port refuses connections, which no pause does. */
+  /** Time of refused connections after which an instance is unreachable. It is shorter, because a paused instance does not refuse connections. */
   connectionRefusedThresholdMs: number
-  /** Longest time since a replica heard from a primary that still counts as alive to it. */
+  /** Longest time since a replica's last contact with its primary for which the primary counts as alive. */
   maxPrimaryContactAgeMs: number
-  /** Silence towards this VM alone, while replicas still hear the primary. */
+  /** How long only this VM may be without a response from the primary, while a replica is in contact with it, before this VM starts an election. */
   vmLinkLostThresholdMs: number
-  /** Silence of the primary towards its replicas, while this VM still hears it. */
+  /** How long replicas may be without contact with a primary that this VM still reaches before replication counts as lost. */
   replicationLostThresholdMs: number
-  /** How long a term may be without a primary before another promoter tries a newer one. */
+  /** How long an election may take, and how long a term may be without a primary, before a promoter tries a newer term. */
   electionTimeoutMs: number
-  /** Delay of a promoter for each one that ranks before it. */
+  /** Delay of a promoter for each one that ranks before it, so that they do not compete. */
   delayPerRankMs: number
-  /** Longest first delay, drawn at random, after a failed election; doubles with each further one. */
+  /** Longest delay after a first failed election; it doubles with each further failure, and the delay is drawn at random from its upper half. */
   initialBackoffMs: number
+  /** Upper limit of the doubled delay. */
   maxBackoffMs: number
-  /** A gap between two ticks that shows that this process itself was paused. */
+  /** Time between two ticks from which this process counts as having been paused itself. */
   processPauseThresholdMs: number
+  /** Shortest time between two commands to one instance to follow the primary. */
   minFollowIntervalMs: number
 }
 
-/** Longest pause of a primary, slow link included, that surely causes no promotion. */
+/** Longest pause of a primary that never causes a promotion; delays of a slow link count towards it. */
 export const TOLERATED_PAUSE_MS = 600
 
 export const defaultTimings: FailoverTimings = {
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -9,7 +9,7 @@
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import { createFailoverState, type FailoverState, type ProbedInstance } from './state.ts'
 
-/** Serving VMs and instances under a virtual clock, for tests of the failover decision. */
+/** Simulates serving VMs and instances with a virtual clock, for tests of the failover decision. */
 
 export type FaultKind = 'killInstance' | 'freezeInstance' | 'killVm' | 'pauseVm' | 'cutVmLink' | 'cutPeerLink' | 'isolateInstance' | 'loss' | 'slowLink'
 
@@ -17,11 +17,13 @@
   kind: FaultKind
   atMs: number
   durationMs: number
+  /** Instance that the fault affects; taken modulo the number of instances. */
   instanceIndex: number
+  /** VM that the fault affects, or the other instance of a cut or slow link; taken modulo their number. */
   peerOrVmIndex: number
 }
 
-/** Deliberately wrong versions, against which the checks must fail. */
+/** Variants of the decision; the checks must fail for every one but `correct`. */
 export type DecisionVariant = 'correct' | 'ackWithoutWaiting' | 'promoteWithoutQuorum' | 'anyCandidate'
 
 export interface VirtualOptions {
@@ -30,17 +32,19 @@
   vms: number
   faults: readonly VirtualFault[]
   variant?: DecisionVariant
-  /** Whether single messages may be late by up to half a second while faults last. */
+  /** Whether single messages may be late by up to half a second until the last fault ends; true by default. */
   hasLateMessages?: boolean
-  /** Time without faults at the end, within which writes must be acknowledged again. */
+  /** Time simulated after the last fault, in which writes must be acknowledged again. */
   faultFreeMs?: number
 }
 
 export interface VirtualResult {
+  /** Descriptions of the violated guarantees; the simulation stops at the first one. */
   violations: string[]
+  /** Number of acknowledged writes. */
   acknowledged: number
   promotionCount: number
-  /** Virtual milliseconds from the end of the faults to the first acknowledged write begun after it; `null` for none. */
+  /** Virtual milliseconds from the end of the last fault to the acknowledgement of the first write begun after it; `null` for none. */
   recoveredAfterMs: number | null
 }
 
@@ -49,8 +53,9 @@
 const REPLICATION_INTERVAL_MS = 30
 const DURABILITY_POLL_INTERVAL_MS = 25
 const DURABILITY_TIMEOUT_MS = 400
+/** Subtracted from the time since a replica's last contact, so that the time between two log requests does not look like a lost primary. */
 const CONTACT_AGE_ALLOWANCE_MS = 50
-/** Messages to a VM between two checks of its baseline. */
+/** The baseline of a VM is checked when it receives a message, for one in so many messages. */
 const MESSAGES_PER_BASELINE_CHECK = 3
 
 interface VirtualInstance { name: string, state: GroupState, frozenUntilMs: number, downUntilMs: number, primaryContactAtMs: number }
@@ -70,7 +75,7 @@
   readonly #vms: VirtualVm[]
   readonly #endpoints: Endpoint[]
   readonly #acknowledged: AcknowledgedWrite[] = []
-  /** Latest position among the acknowledged writes up to each. */
+  /** For each acknowledged write, the latest position among it and those before it. */
   readonly #latestAcknowledged: LogPosition[] = []
   readonly #violations: string[] = []
   readonly #primaryByTerm = new Map<number, string>()
@@ -132,7 +137,7 @@
     scheduleOnVm(WRITE_INTERVAL_MS, () => { this.#write(vm) })
   }
 
-  /** Runs at once, or when the VM's pause ends. */
+  /** Runs now, or when the VM's pause ends, unless the VM has been killed. */
   #runOnVm (vm: VirtualVm, run: () => void): void {
     if (vm.pausedUntilMs > this.#nowMs) {
       this.#schedule(vm.pausedUntilMs, () => {
@@ -149,14 +154,14 @@
     if (++this.#messageCount % MESSAGES_PER_BASELINE_CHECK === 0) this.#checkBaseline(vm)
   }
 
-  /** What the last probes show of a quorum includes every write acknowledged before they were sent. */
+  /** Checks that the baseline from the last probes of a quorum includes every write acknowledged before they were sent. */
   #checkBaseline (vm: VirtualVm): void {
     const baseline = computeBaseline(listProbedInstances(vm.failover).map(i => ({ ...i, isReachable: true })))
     if (baseline === undefined) return
     const index = this.#acknowledged.findLastIndex(a => a.atMs < baseline.atMs)
     const latest = this.#latestAcknowledged[index]
     if (latest === undefined || comparePositions(latest, baseline.position) <= 0) return
-    this.#violations.push(`${vm.name} misses an acknowledged write in its baseline`)
+    this.#violations.push(`${vm.name} computed a baseline without an acknowledged write`)
   }
 
   #runEffect (vm: VirtualVm, effect: FailoverEffect): void {
@@ -282,7 +287,7 @@
     })
   }
 
-  /** A request and its answer, each of which may be lost, late or repeated. */
+  /** Sends a request and its response, each of which may be lost, late or repeated. */
   #request<T> (vm: VirtualVm, target: VirtualInstance, run: (instance: VirtualInstance) => T, handleResponse: (result: T) => void): void {
     this.#sendTo(vm.name, target, () => {
       const result = run(target)
@@ -363,7 +368,7 @@
     }
   }
 
-  /** A new primary that the group can use holds what was acknowledged in older terms. */
+  /** Checks that a new primary holds all writes that were acknowledged in older terms. */
   #checkHoldsAcknowledged (name: string, state: GroupState): void {
     const heldWriteIds = new Set(state.log.flatMap(e => e.statements))
     const missingWrite = this.#acknowledged.find(a => a.position.term < state.term && !heldWriteIds.has(a.id))
@@ -375,8 +380,8 @@
     if (newestPrimary === undefined) return
     const heldWriteIds = newestPrimary.state.log.flatMap(e => e.statements)
     const missingWrites = this.#acknowledged.filter(a => a.position.term <= newestPrimary.state.term && !heldWriteIds.includes(a.id))
-    if (missingWrites.length > 0) this.#violations.push(`${missingWrites[0]!.id} and ${missingWrites.length - 1} more are missing at the end`)
-    if (new Set(heldWriteIds).size !== heldWriteIds.length) this.#violations.push('an entry stands twice in the log')
+    if (missingWrites.length > 0) this.#violations.push(`${missingWrites[0]!.id} and ${missingWrites.length - 1} more are missing from the last primary's log at the end`)
+    if (new Set(heldWriteIds).size !== heldWriteIds.length) this.#violations.push('a write is in the log twice')
   }
 
   #isDone (): boolean {
