--- a/packages/proxy/src/routing/instance-contents.ts
+++ b/packages/proxy/src/routing/instance-contents.ts
@@ -1,7 +1,7 @@
 import { hasReached, type InstanceStatus, type LogPosition } from '@camphorpitch/wire'
 
 /** Largest group in which the primary and one replica are a majority. */
-const MAX_PAIR_MAJORITY = 3
+const MAX_INSTANCES_FOR_PAIR_MAJORITY = 3
 
 /**
  * Whether the last entry that the instance shows was written in the term that it is in. Entries of
@@ -17,8 +17,8 @@
 }
 
 /** Whether entries that a replica took over in its own term are on a majority of the group. */
-export function isPairMajority (instances: number): boolean {
-  return instances <= MAX_PAIR_MAJORITY
+export function isPairMajority (instanceCount: number): boolean {
+  return instanceCount <= MAX_INSTANCES_FOR_PAIR_MAJORITY
 }
 
 /** Whether the instance shows the entry at `required`; the primary of a term shows every entry of that term. */
--- a/packages/proxy/src/routing/select-read-target.test.ts
+++ b/packages/proxy/src/routing/select-read-target.test.ts
@@ -6,13 +6,13 @@
 import { isInTerm, isShownDurable } from './instance-contents.ts'
 import { selectReadTarget, type ReadTarget, type ReadTargetOptions } from './select-read-target.ts'
 
-const NAMES = ['db-1', 'db-2', 'db-3']
-const VMS = 2
-const SESSIONS = 3
+const INSTANCE_NAMES = ['db-1', 'db-2', 'db-3']
+const VM_COUNT = 2
+const SESSION_COUNT = 3
 
 interface Entry { term: number, id: number, atMs: number }
 interface Instance { name: string, term: number, role: InstanceStatus['role'], log: Entry[], applied: number }
-interface Session { position: LogPosition, wrote: Set<number>, saw: Set<number> }
+interface Session { position: LogPosition, writtenIds: Set<number>, seenIds: Set<number> }
 interface Vm { views: Map<string, { status: InstanceStatus, probedAtMs: number }>, history: BaselineHistory }
 type Selector = (options: ReadTargetOptions) => ReadTarget
 
@@ -28,33 +28,33 @@
 
 const actionArbitrary = fc.record({
   kind: fc.constantFrom('write', 'write', 'append', 'append', 'read', 'read', 'read', 'ship', 'ship', 'apply', 'apply', 'probe', 'probe', 'failover'),
-  session: fc.nat(SESSIONS - 1),
-  vm: fc.nat(VMS - 1),
-  instance: fc.nat(NAMES.length - 1),
+  session: fc.nat(SESSION_COUNT - 1),
+  vm: fc.nat(VM_COUNT - 1),
+  instance: fc.nat(INSTANCE_NAMES.length - 1),
   amount: fc.integer({ min: 1, max: 4 }),
   maxAgeMs: fc.constantFrom(0, 0, 0, 40)
 })
 type Action = typeof actionArbitrary extends fc.Arbitrary<infer T> ? T : never
 
 /** A group with lagging replicas and changing primaries, VMs with old views of it, and sessions that roam. */
-class Model {
+class SimulatedGroup {
   readonly #select: Selector
-  readonly #asksAgain: boolean
-  readonly #instances: Instance[] = NAMES.map((name, n) => ({ name, term: 1, role: n === 0 ? 'primary' : 'replica', log: [], applied: 0 }))
-  readonly #vms: Vm[] = Array.from({ length: VMS }, () => ({ views: new Map(), history: [] }))
-  readonly #sessions: Session[] = Array.from({ length: SESSIONS }, () => ({ position: zeroPosition, wrote: new Set(), saw: new Set() }))
+  readonly #hasReadConfirmation: boolean
+  readonly #instances: Instance[] = INSTANCE_NAMES.map((name, n) => ({ name, term: 1, role: n === 0 ? 'primary' : 'replica', log: [], applied: 0 }))
+  readonly #vms: Vm[] = Array.from({ length: VM_COUNT }, () => ({ views: new Map(), history: [] }))
+  readonly #sessions: Session[] = Array.from({ length: SESSION_COUNT }, () => ({ position: zeroPosition, writtenIds: new Set(), seenIds: new Set() }))
   readonly #acknowledged: Entry[] = []
   #nowMs = 0
-  #ids = 0
-  answered = 0
-  fromReplicas = 0
+  #lastId = 0
+  answeredReads = 0
+  answeredByReplica = 0
 
-  constructor (select: Selector, asksAgain: boolean) {
+  constructor (select: Selector, hasReadConfirmation: boolean) {
     this.#select = select
-    this.#asksAgain = asksAgain
+    this.#hasReadConfirmation = hasReadConfirmation
   }
 
-  act (action: Action): void {
+  applyAction (action: Action): void {
     this.#nowMs += 10
     const instance = this.#instances[action.instance]!
     switch (action.kind) {
@@ -73,23 +73,23 @@
   }
 
   /** Once the group is whole and caught up, every session is answered. */
-  settle (): void {
+  checkAfterRecovery (): void {
     const primary = this.#findPrimary()
     for (const i of this.#instances) {
       if (i.term === primary.term) continue
       i.term = primary.term
       i.role = 'replica'
     }
-    this.#write({ position: zeroPosition, wrote: new Set(), saw: new Set() })
+    this.#write({ position: zeroPosition, writtenIds: new Set(), seenIds: new Set() })
     for (const i of this.#instances) {
       this.#ship(i, Infinity)
       i.applied = i.log.length
     }
     for (const i of this.#instances) this.#probe(this.#vms[0]!, i)
     for (const s of this.#sessions) {
-      const before = this.answered
+      const answeredBefore = this.answeredReads
       this.#read(s, this.#vms[0]!, 0)
-      expect(this.answered, 'no instance will ever hold what the session saw').to.equal(before + 1)
+      expect(this.answeredReads, 'no instance will ever hold what the session saw').to.equal(answeredBefore + 1)
     }
   }
 
@@ -103,7 +103,7 @@
 
   /** A write that nobody acknowledges unless it is shipped later; the primary may be an old one. */
   #append (primary: Instance): Entry {
-    const entry = { term: primary.term, id: ++this.#ids, atMs: this.#nowMs }
+    const entry = { term: primary.term, id: ++this.#lastId, atMs: this.#nowMs }
     primary.log.push(entry)
     primary.applied = primary.log.length
     return entry
@@ -116,43 +116,43 @@
     if (!this.#isDurable(position)) this.#ship(this.#instances.find(i => i.role === 'replica' && i.term === primary.term) ?? primary, 100)
     if (!this.#isDurable(position)) return
     this.#acknowledged.push(entry)
-    session.wrote.add(entry.id)
+    session.writtenIds.add(entry.id)
     session.position = pickLaterPosition(session.position, position)
   }
 
   #ship (replica: Instance, amount: number): void {
     const primary = this.#findPrimary()
     if (replica.role !== 'replica' || replica.term !== primary.term) return
-    let common = 0
-    while (common < replica.log.length && replica.log[common] === primary.log[common]) common++
-    replica.log.splice(common, replica.log.length, ...primary.log.slice(common, common + amount))
-    replica.applied = Math.min(replica.applied, common)
+    let commonLength = 0
+    while (commonLength < replica.log.length && replica.log[commonLength] === primary.log[commonLength]) commonLength++
+    replica.log.splice(commonLength, replica.log.length, ...primary.log.slice(commonLength, commonLength + amount))
+    replica.applied = Math.min(replica.applied, commonLength)
   }
 
   /** Fences a majority, promotes the longest log of it and lets the rest of the majority follow. */
-  #changePrimary (left: number): void {
-    const quorum = this.#instances.filter((_i, n) => n !== left)
+  #changePrimary (excludedIndex: number): void {
+    const quorum = this.#instances.filter((_i, n) => n !== excludedIndex)
     const term = Math.max(...this.#instances.map(i => i.term)) + 1
-    const next = quorum.toSorted((a, b) => comparePositions(readStatus(b).logged, readStatus(a).logged))[0]!
+    const newPrimary = quorum.toSorted((a, b) => comparePositions(readStatus(b).logged, readStatus(a).logged))[0]!
     for (const i of quorum) {
       i.term = term
-      i.role = i === next ? 'primary' : 'replica'
+      i.role = i === newPrimary ? 'primary' : 'replica'
     }
-    next.applied = next.log.length
+    newPrimary.applied = newPrimary.log.length
   }
 
   #probe (vm: Vm, instance: Instance): void {
     vm.views.set(instance.name, { status: readStatus(instance), probedAtMs: this.#nowMs })
     vm.history = recordBaseline(vm.history, this.#listViews(vm))
     const primary = this.#findPrimary()
-    const lagging = this.#instances.find(i => i.role === 'primary' && i.term < primary.term)
-    if (lagging === undefined || instance !== lagging) return
-    lagging.term = primary.term
-    lagging.role = 'replica'
+    const oldPrimary = this.#instances.find(i => i.role === 'primary' && i.term < primary.term)
+    if (oldPrimary === undefined || instance !== oldPrimary) return
+    oldPrimary.term = primary.term
+    oldPrimary.role = 'replica'
   }
 
   #listViews (vm: Vm): InstanceView[] {
-    return NAMES.map(endpoint => {
+    return INSTANCE_NAMES.map(endpoint => {
       const view = vm.views.get(endpoint)
       return {
         endpoint: { endpoint, host: '', port: 1, failureDomain: 'fd', region: 'r', maxConnections: 20, slots: 3 },
@@ -182,48 +182,48 @@
     const instance = this.#instances.find(i => i.name === target.endpoint)!
     const status = readStatus(instance)
     const isConfirmed = target.isPrimary ? isInTerm(status) && (status.applied.index === 0 || this.#isDurable(status.applied)) : isShownDurable(status)
-    if (this.#asksAgain && !isConfirmed) return
-    this.answered++
-    if (!target.isPrimary) this.fromReplicas++
-    this.#checkAnswer(session, instance, isStale ? maxAgeMs : null)
+    if (this.#hasReadConfirmation && !isConfirmed) return
+    this.answeredReads++
+    if (!target.isPrimary) this.answeredByReplica++
+    this.#checkRead(session, instance, isStale ? maxAgeMs : null)
     if (isStale) return
-    for (const e of instance.log.slice(0, instance.applied)) session.saw.add(e.id)
+    for (const e of instance.log.slice(0, instance.applied)) session.seenIds.add(e.id)
     session.position = pickLaterPosition(session.position, status.applied)
   }
 
-  #checkAnswer (session: Session, instance: Instance, maxAgeMs: number | null): void {
-    const shown = new Set(instance.log.slice(0, instance.applied).map(e => e.id))
+  #checkRead (session: Session, instance: Instance, maxAgeMs: number | null): void {
+    const visibleIds = new Set(instance.log.slice(0, instance.applied).map(e => e.id))
     if (maxAgeMs !== null) {
-      for (const e of this.#acknowledged) if (e.atMs <= this.#nowMs - maxAgeMs) expect(shown.has(e.id), 'older than allowed').to.equal(true)
+      for (const e of this.#acknowledged) if (e.atMs <= this.#nowMs - maxAgeMs) expect(visibleIds.has(e.id), 'older than allowed').to.equal(true)
       return
     }
-    for (const id of session.wrote) expect(shown.has(id), 'own write is missing').to.equal(true)
-    for (const id of session.saw) expect(shown.has(id), 'went back in time').to.equal(true)
+    for (const id of session.writtenIds) expect(visibleIds.has(id), 'own write is missing').to.equal(true)
+    for (const id of session.seenIds) expect(visibleIds.has(id), 'went back in time').to.equal(true)
   }
 }
 
-function runModels (select: Selector, asksAgain = true): { answered: number, fromReplicas: number } {
-  const sum = { answered: 0, fromReplicas: 0 }
+function runSimulations (select: Selector, hasReadConfirmation = true): { answered: number, fromReplicas: number } {
+  const totals = { answered: 0, fromReplicas: 0 }
   fc.assert(fc.property(fc.array(actionArbitrary, { minLength: 20, maxLength: 120 }), actions => {
-    const model = new Model(select, asksAgain)
-    for (const a of actions) model.act(a)
-    model.settle()
-    sum.answered += model.answered
-    sum.fromReplicas += model.fromReplicas
+    const simulatedGroup = new SimulatedGroup(select, hasReadConfirmation)
+    for (const a of actions) simulatedGroup.applyAction(a)
+    simulatedGroup.checkAfterRecovery()
+    totals.answered += simulatedGroup.answeredReads
+    totals.fromReplicas += simulatedGroup.answeredByReplica
   }), { numRuns: 2_000, seed: 23, includeErrorInReport: true })
-  return sum
+  return totals
 }
 
 describe('read routing', () => {
   it('keeps read-your-writes, monotonic reads and stated ages over 2,000 interleavings with lag, failover and roaming', () => {
-    const { answered, fromReplicas } = runModels(selectReadTarget)
+    const { answered, fromReplicas } = runSimulations(selectReadTarget)
     expect(fromReplicas).to.be.greaterThan(answered / 4)
   })
 
   it('tells a router that takes any replica, and one that does not ask the instance again after the read', () => {
     const takeAny: Selector = options => selectReadTarget({ ...options, requirement: { required: zeroPosition, maxAgeMs: 0 } })
-    expect(() => runModels(takeAny)).to.throw(/own write is missing|went back in time|older than allowed/)
-    expect(() => runModels(selectReadTarget, false)).to.throw('no instance will ever hold what the session saw')
+    expect(() => runSimulations(takeAny)).to.throw(/own write is missing|went back in time|older than allowed/)
+    expect(() => runSimulations(selectReadTarget, false)).to.throw('no instance will ever hold what the session saw')
   })
 
   it('computes a baseline that includes what a majority acknowledged', () => {
--- a/packages/proxy/src/routing/select-read-target.ts
+++ b/packages/proxy/src/routing/select-read-target.ts
@@ -1,7 +1,7 @@
 import type { LogPosition } from '@camphorpitch/wire'
 import type { InstanceView } from '../failover/group-view.ts'
 import type { BaselineHistory } from './baseline-history.ts'
-import { findProvenTimeMs } from './baseline-history.ts'
+import { findHeldBaselineTimeMs } from './baseline-history.ts'
 import { hasShown, isShownDurable } from './instance-contents.ts'
 
 /** What a read needs of the instance that answers it. */
@@ -38,7 +38,7 @@
   const { required, maxAgeMs } = requirement
   if (required !== null && hasShown(status, required)) return true
   if (maxAgeMs <= 0) return false
-  return nowMs - findProvenTimeMs(history, status) <= maxAgeMs
+  return nowMs - findHeldBaselineTimeMs(history, status) <= maxAgeMs
 }
 
 /**
@@ -61,17 +61,17 @@
  */
 export function selectReadTarget (options: ReadTargetOptions): ReadTarget {
   const { primary, failureDomain, countOutstanding } = options
-  const able = options.instances.filter(i => canServeRead(i, options))
-  const replicas = able.filter(i => i.endpoint.endpoint !== primary)
-  const ranked = replicas.map(i => ({
+  const eligibleInstances = options.instances.filter(i => canServeRead(i, options))
+  const eligibleReplicas = eligibleInstances.filter(i => i.endpoint.endpoint !== primary)
+  const rankedReplicas = eligibleReplicas.map(i => ({
     endpoint: i.endpoint.endpoint,
     outstanding: countOutstanding(i.endpoint.endpoint),
     distance: i.endpoint.failureDomain === failureDomain ? 0 : 1
   }))
-  ranked.sort((a, b) => a.outstanding - b.outstanding || a.distance - b.distance || a.endpoint.localeCompare(b.endpoint))
-  const best = ranked[0]
-  if (best !== undefined) return { kind: 'instance', endpoint: best.endpoint, isPrimary: false, reason: 'replica holds the position' }
-  const own = able.find(i => i.endpoint.endpoint === primary)
-  if (own !== undefined) return { kind: 'instance', endpoint: own.endpoint.endpoint, isPrimary: true, reason: 'no replica holds the position' }
+  rankedReplicas.sort((a, b) => a.outstanding - b.outstanding || a.distance - b.distance || a.endpoint.localeCompare(b.endpoint))
+  const bestReplica = rankedReplicas[0]
+  if (bestReplica !== undefined) return { kind: 'instance', endpoint: bestReplica.endpoint, isPrimary: false, reason: 'replica holds the position' }
+  const eligiblePrimary = eligibleInstances.find(i => i.endpoint.endpoint === primary)
+  if (eligiblePrimary !== undefined) return { kind: 'instance', endpoint: eligiblePrimary.endpoint.endpoint, isPrimary: true, reason: 'no replica holds the position' }
   return { kind: 'none', reason: 'no instance is known to hold the position' }
 }
