--- a/packages/proxy/src/routing/baseline-history.ts
+++ b/packages/proxy/src/routing/baseline-history.ts
@@ -1,22 +1,25 @@
 import { comparePositions, hasReached, type InstanceStatus, type LogPosition } from '@camphorpitch/wire'
 import type { InstanceView } from '../failover/group-view.ts'
 
-/** Every write acknowledged before `atMs` lies at or before `position`. */
+/** A bound on acknowledged writes: each one acknowledged before `atMs` is at or before `position` in the log. */
 export interface Baseline {
+  /** Monotonic milliseconds of this VM. */
   atMs: number
   position: LogPosition
 }
 
-/** Baselines, the newest first. */
+/** Baselines, newest first. */
 export type BaselineHistory = readonly Baseline[]
 
+/** Longest history kept; older baselines are dropped. */
 const MAX_BASELINES = 128
-/** Baselines nearer to each other than this are not kept apart. */
+/** A baseline that follows the previous one by less than this is not added. */
 const MIN_BASELINE_SPACING_MS = 50
 
 /**
- * Derives a baseline from the last probes: an acknowledged write is on a majority of the instances,
- * so the latest log over any majority holds all that was acknowledged before the first of its probes.
+ * Computes a baseline from the last probes; `undefined` when fewer than a majority have a status. An
+ * acknowledged write is on a majority of the instances, so the latest log position over any majority
+ * includes every write acknowledged before the oldest probe of that majority.
  */
 export function computeBaseline (instances: readonly InstanceView[]): Baseline | undefined {
   const majoritySize = Math.floor(instances.length / 2) + 1
@@ -32,7 +35,7 @@
   return { atMs, position }
 }
 
-/** Adds what the last probes show. */
+/** Adds the baseline computed from the last probes, unless it is too close to the newest one. */
 export function recordBaseline (history: BaselineHistory, instances: readonly InstanceView[]): BaselineHistory {
   const baseline = computeBaseline(instances)
   if (baseline === undefined) return history
@@ -41,7 +44,7 @@
   return [baseline, ...history].slice(0, MAX_BASELINES)
 }
 
-/** Time of the newest baseline that the instance surely holds; `-Infinity` when it is not known to hold any. */
+/** Time of the newest baseline whose position the instance has applied; `-Infinity` when it is not known to have applied any. */
 export function findHeldBaselineTimeMs (history: BaselineHistory, status: InstanceStatus): number {
   const newestHeld = history.find(b => hasReached(status.applied, status.termStarts, b.position))
   return newestHeld === undefined ? -Infinity : newestHeld.atMs
--- a/packages/proxy/src/routing/instance-contents.ts
+++ b/packages/proxy/src/routing/instance-contents.ts
@@ -1,27 +1,27 @@
 import { hasReached, type InstanceStatus, type LogPosition } from '@camphorpitch/wire'
 
-/** Largest group in which the primary and one replica are a majority. */
+/** Largest number of instances of which the primary and one replica are a majority. */
 const MAX_INSTANCES_FOR_PAIR_MAJORITY = 3
 
 /**
- * Whether the last entry that the instance shows was written in the term that it is in. Entries of
- * older terms may have come with a new primary's log, and those can still be lost.
+ * Whether the last applied entry was written in the instance's current term, or nothing is applied yet.
+ * Entries of older terms may come from a new primary's log without being on a majority, so they can still be lost.
  */
 export function isInTerm ({ applied, term }: InstanceStatus): boolean {
   return applied.index === 0 || applied.term === term
 }
 
-/** Whether the instance follows a primary and shows only what both of them hold in their term. */
+/** Whether the instance is a replica whose applied entries are all on the primary of its term too. */
 export function isShownDurable (status: InstanceStatus): boolean {
   return status.role === 'replica' && isInTerm(status)
 }
 
-/** Whether entries that a replica took over in its own term are on a majority of the group. */
+/** Whether an entry that a replica received from the primary of its term is on a majority, since the two of them are one. */
 export function isPairMajority (instanceCount: number): boolean {
   return instanceCount <= MAX_INSTANCES_FOR_PAIR_MAJORITY
 }
 
-/** Whether the instance shows the entry at `required`; the primary of a term shows every entry of that term. */
+/** Whether a query on the instance sees the entry at `required`. The primary of a term sees every entry of that term. */
 export function hasShown (status: InstanceStatus, required: LogPosition): boolean {
   if (status.role === 'primary' && status.term === required.term) return true
   return hasReached(status.applied, status.termStarts, required)
--- a/packages/proxy/src/routing/select-read-target.test.ts
+++ b/packages/proxy/src/routing/select-read-target.test.ts
@@ -36,7 +36,7 @@
 })
 type Action = typeof actionArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-/** A group with lagging replicas and changing primaries, VMs with old views of it, and sessions that roam. */
+/** Simulates a group with lagging replicas and changing primaries, VMs with outdated views of it, and sessions that move between VMs. */
 class SimulatedGroup {
   readonly #select: Selector
   readonly #hasReadConfirmation: boolean
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Once the group is whole and caught up, every session is answered. */
+  /** Checks that every session can read once all instances follow the primary and have caught up. */
   checkAfterRecovery (): void {
     const primary = this.#findPrimary()
     for (const i of this.#instances) {
@@ -101,7 +101,7 @@
     return this.#instances.filter(i => i.term === position.term && comparePositions(readPosition(i.log, i.log.length), position) >= 0).length >= 2
   }
 
-  /** A write that nobody acknowledges unless it is shipped later; the primary may be an old one. */
+  /** Appends an entry without acknowledging it; the primary may be one of an older term. */
   #append (primary: Instance): Entry {
     const entry = { term: primary.term, id: ++this.#lastId, atMs: this.#nowMs }
     primary.log.push(entry)
@@ -129,7 +129,7 @@
     replica.applied = Math.min(replica.applied, commonLength)
   }
 
-  /** Fences a majority, promotes the longest log of it and lets the rest of the majority follow. */
+  /** Fences a majority, promotes the instance with its longest log and lets the rest of the majority follow. */
   #changePrimary (excludedIndex: number): void {
     const quorum = this.#instances.filter((_i, n) => n !== excludedIndex)
     const term = Math.max(...this.#instances.map(i => i.term)) + 1
@@ -215,18 +215,18 @@
 }
 
 describe('read routing', () => {
-  it('keeps read-your-writes, monotonic reads and stated ages over 2,000 interleavings with lag, failover and roaming', () => {
+  it('the selection keeps read-your-writes, monotonic reads and the accepted age over 2,000 interleavings with lag, failover and sessions that change VMs', () => {
     const { answered, fromReplicas } = runSimulations(selectReadTarget)
     expect(fromReplicas).to.be.greaterThan(answered / 4)
   })
 
-  it('tells a router that takes any replica, and one that does not ask the instance again after the read', () => {
+  it('the checks fail for a selection of any replica, and for reads that are not confirmed by the instance afterwards', () => {
     const takeAny: Selector = options => selectReadTarget({ ...options, requirement: { required: zeroPosition, maxAgeMs: 0 } })
     expect(() => runSimulations(takeAny)).to.throw(/own write is missing|went back in time|older than allowed/)
     expect(() => runSimulations(selectReadTarget, false)).to.throw('no instance will ever hold what the session saw')
   })
 
-  it('computes a baseline that includes what a majority acknowledged', () => {
+  it('the baseline includes every entry that a majority of the instances holds', () => {
     const log: Entry[] = [{ term: 1, id: 1, atMs: 0 }, { term: 1, id: 2, atMs: 0 }]
     const make = (name: string, length: number, probedAtMs: number): InstanceView => ({
       endpoint: { endpoint: name, host: '', port: 1, failureDomain: 'fd', region: 'r', maxConnections: 20, slots: 3 },
--- a/packages/proxy/src/routing/select-read-target.ts
+++ b/packages/proxy/src/routing/select-read-target.ts
@@ -4,32 +4,33 @@
 import { findHeldBaselineTimeMs } from './baseline-history.ts'
 import { hasShown, isShownDurable } from './instance-contents.ts'
 
-/** What a read needs of the instance that answers it. */
+/** What a read requires of the instance that serves it. */
 export interface ReadRequirement {
-  /** Position that the answer must include; `null` when only age matters. */
+  /** Position that the instance must have applied; `null` when only the age of the data matters. */
   required: LogPosition | null
-  /** Accepted age of the data in milliseconds; 0 for none. */
+  /** Accepted age of the data in milliseconds; with 0 only `required` counts. */
   maxAgeMs: number
 }
 
 export interface ReadTargetOptions {
   instances: readonly InstanceView[]
-  /** Endpoint of the primary; `undefined` when none is known. */
+  /** Name of the primary's endpoint; `undefined` when no primary is known. */
   primary: string | undefined
   requirement: ReadRequirement
+  /** Baselines from which the age of an instance's data is derived. */
   history: BaselineHistory
   nowMs: number
   /** Failure domain of this VM. */
   failureDomain: string
-  /** Statements of this VM that wait for or run on an endpoint. */
+  /** Number of this VM's statements that wait for an endpoint or run on it. */
   countOutstanding: (endpoint: string) => number
-  /** Endpoints that already failed this request. */
+  /** Names of endpoints on which this request has already failed. */
   excluded: ReadonlySet<string>
 }
 
 export type ReadTarget =
   | { kind: 'instance', endpoint: string, isPrimary: boolean, reason: string }
-  /** No instance surely holds what the read needs. */
+  /** No instance is known to meet the requirement. */
   | { kind: 'none', reason: string }
 
 function isFreshEnough (instance: InstanceView, { requirement, history, nowMs }: ReadTargetOptions): boolean {
@@ -42,8 +43,9 @@
 }
 
 /**
- * Whether the instance may answer the read: reachable, staying or still the primary, not yet tried, and surely holding what the
- * read needs. An instance that takes itself for the primary, but is not, answers nothing.
+ * Whether the instance may serve the read: it is reachable, not excluded, not leaving unless it is the
+ * primary, and known to meet the requirement. An instance that reports to be primary, but is not
+ * `options.primary`, may not serve reads.
  */
 export function canServeRead (instance: InstanceView, options: ReadTargetOptions): boolean {
   const { endpoint, status, isReachable } = instance
@@ -54,10 +56,10 @@
 }
 
 /**
- * Picks the instance for a read. Replicas go before the primary; among them the one with the least
- * outstanding work, then the one in this VM's failure domain.
+ * Selects the instance for a read. Replicas are preferred to the primary; among replicas the one with
+ * the fewest outstanding statements, then one in this VM's failure domain.
  *
- * @example selectReadTarget(options) // { kind: 'instance', endpoint: 'orders-2', isPrimary: false, reason: 'replica' }
+ * @example selectReadTarget(options) // { kind: 'instance', endpoint: 'orders-2', isPrimary: false, reason: 'replica holds the position' }
  */
 export function selectReadTarget (options: ReadTargetOptions): ReadTarget {
   const { primary, failureDomain, countOutstanding } = options
