--- a/packages/proxy/src/retries/run-named-write.ts
+++ b/packages/proxy/src/retries/run-named-write.ts
@@ -11,26 +11,28 @@
 import { isNotRunError } from './classify-failure.ts'
 import { formatRecordCleanup, formatRecordInsert, formatRecordQuery, formatRecordTableCreation, formatRecordUpdate, hashStatement, hashWriteName, isDuplicateKey, isMissingTable, parseRecord } from './write-record.ts'
 
+/** Longest wait between two attempts, and the retry-after time of refusals. */
 const RETRY_INTERVAL_MS = 50
-/** One named write in so many also removes records that are past their retention. */
+/** One in so many named writes also deletes the records that are past their retention. */
 const WRITES_PER_RECORD_CLEANUP = 1_000
 
+/** Result of one statement of an attempt. `rows` holds at most the first batch of rows. */
 interface StatementResult {
   header: ResultHeader | null
   rows: Cell[][]
   failure: Extract<ResultPart, { kind: 'failed' }> | null
 }
 
-/** How one attempt ended: with the answer, or with what to answer when it is not repeated. */
+/** How one attempt ended: with the final answer for the client, or with what the answer is based on when no further attempt is made. */
 type AttemptOutcome =
   | { kind: 'answer', frame: AnswerFrame }
-  /** Rolled back, or not begun. */
+  /** The write was rolled back or not begun. */
   | { kind: 'notRun', frame: AnswerFrame }
-  /** No connection was to be had, so that nothing was sent. */
+  /** No connection was available, so nothing was sent. */
   | { kind: 'notSent', frame: AnswerFrame, isOverload: boolean }
-  /** Sent to commit, without a whole answer or without its confirmation. */
+  /** The commit was sent, but its response was lost or its position was not confirmed as durable. */
   | { kind: 'inDoubt', reason: string }
-  /** The table of records is missing. */
+  /** The table of write records is missing; the transaction was rolled back before the write ran. */
   | { kind: 'noTable' }
 
 let namedWriteCount = 0
@@ -43,14 +45,14 @@
   return makeRefusal(kind, reason, kind === 'notRunRetry' ? RETRY_INTERVAL_MS : undefined)
 }
 
-/** One attempt of a named write, on one connection of the primary. */
+/** One attempt of a named write, on one connection to the primary. */
 class NamedWriteAttempt {
   readonly #context: ServingContext
   readonly #request: AcceptedRequest
   readonly #endpoint: string
   readonly #connection: EndpointConnection
   readonly #recordId: string
-  /** Half of the time left, so that a lost answer leaves time to find the outcome. */
+  /** Halfway to the request's deadline, so that after a lost response there is time to find the outcome. */
   readonly #attemptDeadlineMs: number
   #isCommitSent = false
 
@@ -63,6 +65,7 @@
     this.#recordId = hashWriteName(request.workspace, request.writeId ?? '')
   }
 
+  /** Runs the write and its record in one transaction. When it committed, returns the header of the write's result and the position of the commit. */
   async run (): Promise<AttemptOutcome | { committed: ResultHeader, position: LogPosition | null }> {
     try {
       return await this.#runSteps()
@@ -93,6 +96,7 @@
     return { committed: writeResult.header, position: parseCommitInfo(commitResult.header?.info ?? '') }
   }
 
+  /** Rolls back; a duplicate key means that a write with the same request id has already committed. */
   async #handleRecordInsertFailure (failure: NonNullable<StatementResult['failure']>): Promise<AttemptOutcome> {
     await this.#send('ROLLBACK')
     if (isMissingTable(failure.errno)) return { kind: 'noTable' }
@@ -100,7 +104,7 @@
     return await this.#answerFromRecord()
   }
 
-  /** Answers from the record of the attempt that was committed. */
+  /** Answers from the record of the earlier attempt that committed. */
   async #answerFromRecord (): Promise<AttemptOutcome> {
     const { rows } = await this.#send(formatRecordQuery(this.#recordId))
     const row = rows[0]
@@ -136,6 +140,7 @@
   }
 }
 
+/** Runs one attempt and, when it committed, confirms that the commit is durable. */
 async function runAttempt (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<AttemptOutcome> {
   const lease = await acquireLease(context, request, endpoint, false)
   if (!lease.granted) return { kind: 'notSent', frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs), isOverload: lease.isOverload }
@@ -152,7 +157,7 @@
   return createAnswer({ kind: 'ok', affectedRows, insertId, position, transactionId: null })
 }
 
-/** Creates the table of records when it is missing, and tries again. */
+/** Runs an attempt; when the table of write records is missing, creates it and runs another one. */
 async function runAttemptEnsuringTable (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<AttemptOutcome> {
   const outcome = await runAttempt(context, request, endpoint)
   if (outcome.kind !== 'noTable') return outcome
@@ -171,6 +176,7 @@
   return outcome
 }
 
+/** The answer when no further attempt is made. Once any attempt was in doubt, the outcome is unknown. */
 function createFinalFrame (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): AnswerFrame {
   if (inDoubtReason !== null) return createRefusal('outcomeUnknown', `${inDoubtReason}; the same request id may be repeated`)
   if (outcome.kind === 'notRun' || outcome.kind === 'notSent') return outcome.frame
@@ -178,9 +184,10 @@
 }
 
 /**
- * Runs a write that the caller has named. Its record and the write commit together, and the record's
- * key lets a name commit once; so an attempt whose answer was lost is repeated at the current primary,
- * where it either finds the earlier outcome or is the one that runs.
+ * Runs a named write: a write with a request id, under which it commits at most once. The write and its
+ * record commit in one transaction, and the record's primary key is derived from the request id. An
+ * attempt whose response was lost is therefore repeated at the current primary, where it either finds
+ * the record of the earlier outcome or runs the write.
  */
 export async function * runNamedWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
   if (canCommitImplicitly(request.text)) {
