--- a/packages/proxy/src/failover/decide-failover.ts
+++ b/packages/proxy/src/failover/decide-failover.ts
@@ -1,6 +1,6 @@
 import type { InstanceStatus, Step } from '@camphorpitch/wire'
 import { handleElectionFailure, handleFenceGrant, startElection } from './election.ts'
-import { countReachableInstances, findReachablePrimary, findUsablePrimary, hasRecentReplicaContact, hasElapsed, isPrimaryConfirmationPending, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances, findHighestTerm } from './health.ts'
+import { countReachableInstances, findHighestTerm, findReachablePrimary, findUsablePrimary, hasElapsed, hasRecentReplicaContact, isPrimaryConfirmationPending, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import { listFollowEffects } from './repair.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
@@ -68,7 +68,7 @@
   if (state.outage !== null) state.outage.sinceMs = nowMs
 }
 
-/** Notes the beginning, the end or a new reason of an outage. */
+/** Records the beginning, the end or a new reason of an outage. */
 function updateOutage (state: FailoverState, nowMs: number): FailoverEffect[] {
   const reason = findOutageReason(state, nowMs)
   const previousOutage = state.outage
--- a/packages/proxy/src/failover/durability-watch.ts
+++ b/packages/proxy/src/failover/durability-watch.ts
@@ -1,6 +1,6 @@
 import { formatWait, waitResultSchema, type LogPosition } from '@camphorpitch/wire'
 import type { ControlConnection } from './control-connection.ts'
-import { addWaiter, createDurabilityState, findNextAwaitedPosition, removeSettledWaiters, recordReport, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
+import { addWaiter, createDurabilityState, findNextAwaitedPosition, recordReport, removeSettledWaiters, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
 
 /** Longest time for which an instance holds back the response to one `GROUP WAIT`. */
 const WAIT_TIMEOUT_MS = 500
--- a/packages/proxy/src/failover/election.ts
+++ b/packages/proxy/src/failover/election.ts
@@ -1,5 +1,5 @@
 import { comparePositions } from '@camphorpitch/wire'
-import { findUsablePrimary, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances, findHighestTerm } from './health.ts'
+import { findHighestTerm, findUsablePrimary, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
 import type { Election, FailoverState, ProbedInstance } from './state.ts'
 
--- a/packages/proxy/src/failover/health.ts
+++ b/packages/proxy/src/failover/health.ts
@@ -101,7 +101,7 @@
   })
 }
 
-/** Estimate while no quorum is reachable, since the end of such an outage cannot be predicted. */
+/** Estimate while no quorum of the instances is reachable. */
 const NO_QUORUM_RETRY_AFTER_MS = 2_000
 /** Expected duration of an election, from the first fence to the new primary. */
 const EXPECTED_ELECTION_MS = 100
--- a/packages/proxy/src/failover/repair.ts
+++ b/packages/proxy/src/failover/repair.ts
@@ -1,4 +1,4 @@
-import { findReachablePrimary, listProbedInstances, findHighestTerm } from './health.ts'
+import { findHighestTerm, findReachablePrimary, listProbedInstances } from './health.ts'
 import type { FailoverEffect } from './messages.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
 
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -115,8 +115,8 @@
   #createVm (name: string, incarnation: number, rank: number): VirtualVm {
     const failover = createFailoverState({ database: 'db', endpoints: this.#endpoints, promoterId: `${name}.${incarnation}`, seed: this.#options.seed + rank, nowMs: this.#nowMs, rank })
     if (this.#options.variant === 'promoteWithoutQuorum') failover.quorumSize = 1
-    const quorum = this.#options.variant === 'ackWithoutWaiting' ? 1 : Math.floor(this.#endpoints.length / 2) + 1
-    const durability = createDurabilityState(this.#endpoints.map(e => e.endpoint), quorum)
+    const quorumSize = this.#options.variant === 'ackWithoutWaiting' ? 1 : Math.floor(this.#endpoints.length / 2) + 1
+    const durability = createDurabilityState(this.#endpoints.map(e => e.endpoint), quorumSize)
     return { name, incarnation, failover, durability, pausedUntilMs: 0, writes: 0 }
   }
 
@@ -242,7 +242,7 @@
         isOpen = false
         return
       }
-      for (const i of this.#instances.filter(each => each.name !== primary)) {
+      for (const i of this.#instances.filter(other => other.name !== primary)) {
         this.#request(vm, i, polled => ({ term: polled.state.term, logged: describeStatus(polled.state).logged }), report => {
           for (const outcome of recordReport(vm.durability, i.name, report)) {
             if (outcome.id === waiterId) finish(outcome.isDurable)
