--- a/packages/proxy/src/failover/repair.ts
+++ b/packages/proxy/src/failover/repair.ts
@@ -1,20 +1,20 @@
-import { findReachablePrimary, listProbed, readHighestTerm } from './health.ts'
+import { findHighestTerm, findReachablePrimary, listProbedInstances } from './health.ts'
 import type { FailoverEffect } from './messages.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
 
 /**
- * Points instances that are fenced, late or still in an older term at the primary of the highest
- * term. Every serving VM does so; an instance refuses what is out of date.
+ * Returns commands for instances that are fenced or in an older term to follow the primary of the
+ * highest term. Every serving VM sends them; an instance refuses a command of an outdated term.
  */
 export function listFollowEffects (state: FailoverState, nowMs: number): FailoverEffect[] {
   const primary = findReachablePrimary(state, nowMs)
   if (primary === undefined) return []
   const term = primary.status!.term
-  if (term < readHighestTerm(state)) return []
+  if (term < findHighestTerm(state)) return []
   const effects: FailoverEffect[] = []
-  for (const i of listProbed(state)) {
-    if (i === primary || !isMisplaced(i, term) || nowMs - i.lastFollowAtMs < state.timings.followIntervalMs) continue
-    i.lastFollowAtMs = nowMs
+  for (const i of listProbedInstances(state)) {
+    if (i === primary || !isFollowRequired(i, term) || nowMs - i.lastFollowSentAtMs < state.timings.minFollowIntervalMs) continue
+    i.lastFollowSentAtMs = nowMs
     const { endpoint } = i.endpoint
     effects.push({ type: 'log', stage: 'following', fields: { endpoint, term, primary: primary.endpoint.endpoint } })
     effects.push({ type: 'follow', endpoint, term, primary: primary.endpoint })
@@ -22,7 +22,8 @@
   return effects
 }
 
-function isMisplaced ({ status }: ProbedInstance, term: number): boolean {
+/** Whether the instance follows no primary in `term`. */
+function isFollowRequired ({ status }: ProbedInstance, term: number): boolean {
   if (status === null) return false
   return status.term < term || status.role === 'fenced'
 }
--- a/packages/proxy/src/failover/timings.ts
+++ b/packages/proxy/src/failover/timings.ts
@@ -1,46 +1,48 @@
-/** Times that govern failover, in milliseconds. */
+/** Intervals and thresholds of failover, in milliseconds. */
 export interface FailoverTimings {
-  /** Between probes of the primary; replicas are probed half as often while all is well. */
+  /** Interval between probes of the primary; replicas are probed half as often while the group has a usable primary. */
   probeIntervalMs: number
-  /** Silence of the primary after which all instances are probed with each tick. */
-  suspicionMs: number
-  /** Silence of the primary after which it counts as lost; longer than any pause that must not cause a promotion. */
-  failureThresholdMs: number
-  /** The same when its port refuses connections, which no pause does. */
-  refusalThresholdMs: number
-  /** Longest time since a replica heard from a primary that still counts as alive to it. */
-  heardThresholdMs: number
-  /** Silence towards this VM alone, while replicas still hear the primary. */
-  linkThresholdMs: number
-  /** Silence of the primary towards its replicas, while this VM still hears it. */
-  replicationThresholdMs: number
-  /** How long a term may be without a primary before another promoter tries a newer one. */
+  /** Time without a response from the primary after which all instances are probed on every tick. */
+  suspicionThresholdMs: number
+  /** Time without a response after which an instance is unreachable, and a primary lost; longer than any pause that must not cause a promotion. */
+  unreachableThresholdMs: number
+  /** Time of refused connections after which an instance is unreachable. It is shorter, because a paused instance does not refuse connections. */
+  connectionRefusedThresholdMs: number
+  /** Longest time since a replica's last contact with its primary for which the primary counts as alive. */
+  maxPrimaryContactAgeMs: number
+  /** How long only this VM may be without a response from the primary, while a replica is in contact with it, before this VM starts an election. */
+  vmLinkLostThresholdMs: number
+  /** How long replicas may be without contact with a primary that this VM still reaches before replication counts as lost. */
+  replicationLostThresholdMs: number
+  /** How long an election may take, and how long a term may be without a primary, before a promoter tries a newer term. */
   electionTimeoutMs: number
-  /** Delay of a promoter for each one that ranks before it. */
-  rankDelayMs: number
-  /** Longest first delay, drawn at random, after a failed election; doubles with each further one. */
-  backoffMs: number
+  /** Delay of a promoter for each one that ranks before it, so that they do not compete. */
+  delayPerRankMs: number
+  /** Longest delay after a first failed election; it doubles with each further failure, and the delay is drawn at random from its upper half. */
+  initialBackoffMs: number
+  /** Upper limit of the doubled delay. */
   maxBackoffMs: number
-  /** A gap between two ticks that shows that this process itself was paused. */
-  pauseGapMs: number
-  followIntervalMs: number
+  /** Time between two ticks from which this process counts as having been paused itself. */
+  processPauseThresholdMs: number
+  /** Shortest time between two commands to one instance to follow the primary. */
+  minFollowIntervalMs: number
 }
 
-/** Longest pause of a primary, slow link included, that surely causes no promotion. */
+/** Longest pause of a primary that never causes a promotion; delays of a slow link count towards it. */
 export const TOLERATED_PAUSE_MS = 600
 
 export const defaultTimings: FailoverTimings = {
   probeIntervalMs: 150,
-  suspicionMs: 200,
-  failureThresholdMs: 700,
-  refusalThresholdMs: 300,
-  heardThresholdMs: 250,
-  linkThresholdMs: 1_500,
-  replicationThresholdMs: 1_500,
+  suspicionThresholdMs: 200,
+  unreachableThresholdMs: 700,
+  connectionRefusedThresholdMs: 300,
+  maxPrimaryContactAgeMs: 250,
+  vmLinkLostThresholdMs: 1_500,
+  replicationLostThresholdMs: 1_500,
   electionTimeoutMs: 500,
-  rankDelayMs: 150,
-  backoffMs: 100,
+  delayPerRankMs: 150,
+  initialBackoffMs: 100,
   maxBackoffMs: 1_600,
-  pauseGapMs: 300,
-  followIntervalMs: 150
+  processPauseThresholdMs: 300,
+  minFollowIntervalMs: 150
 }
