--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -9,16 +9,16 @@
 import { ControlConnections } from './failover/control-connections.ts'
 import { DutyClaims } from './failover/duty-claim.ts'
 import { FailoverWatch } from './failover/failover-watch.ts'
-import { LeadershipQuestions } from './failover/verify-leadership.ts'
+import { LeadershipVerifier } from './failover/verify-leadership.ts'
 import { Fleet } from './fleet/fleet.ts'
-import { FleetMessageHandler } from './fleet/fleet-messages.ts'
+import { FleetMessageHandler } from './fleet/fleet-message-handler.ts'
 import { createMemberState, type MemberState } from './fleet/members.ts'
-import type { VmEntry } from './fleet/messages.ts'
+import type { VmEntry } from './fleet/message-schemas.ts'
 import { GroupTable, type GroupTableOptions } from './groups/group-table.ts'
 import { CountingVms } from './limits/counting-vms.ts'
-import { PermitRequests } from './limits/permit-requests.ts'
+import { PermitClient } from './limits/permit-requests.ts'
 import { QuotaRecord } from './limits/quota-record.ts'
-import { QuotaKeeper } from './limits/quota-keeper.ts'
+import { QuotaCounter } from './limits/quota-counter.ts'
 import type { MetadataStore } from './metadata/metadata-store.ts'
 import { watchKind } from './metadata/watch-kind.ts'
 import { ClientSession } from './sessions/client-session.ts'
@@ -48,7 +48,7 @@
 
 export interface GatewayOptions {
   settings: GatewaySettings
-  outside: GatewayAdapters
+  adapters: GatewayAdapters
   logger: Logger
   clock?: Clock
 }
@@ -76,17 +76,17 @@
   directory: DirectoryState
   members: MemberState
   groups: GroupTable
-  quotas: QuotaKeeper
-  permits: PermitRequests
+  quotas: QuotaCounter
+  permits: PermitClient
   quotaRecord: QuotaRecord
-  questions: LeadershipQuestions
+  leadershipVerifier: LeadershipVerifier
   network: WsPeerNetwork
   fleet: Fleet
   failover: FailoverWatch
 }
 
 /** Starts all slices of a VM's gateway, connected to each other. Resolves once it listens for clients. */
-export async function startGateway ({ settings, outside: adapters, logger, clock = new ElapsedClock() }: GatewayOptions): Promise<Gateway> {
+export async function startGateway ({ settings, adapters, logger, clock = new ElapsedClock() }: GatewayOptions): Promise<Gateway> {
   const components = createComponents(settings, adapters, logger, clock)
   const { network, fleet, failover, quotas, quotaRecord, configuration, groups, metrics, directory } = components
   await network.listen(settings.host, settings.internalPorts[0])
@@ -132,13 +132,13 @@
   const self: VmEntry = { vm: settings.vm, host: settings.host, port: settings.internalPorts[0], failureDomain: settings.failureDomain, region: settings.region, incarnation }
   const members = createMemberState(self)
   const controlConnections = new ControlConnections(connector)
-  const questions = new LeadershipQuestions({ clock, logger, control: controlConnections })
+  const leadershipVerifier = new LeadershipVerifier({ clock, logger, control: controlConnections })
   const directory = createDirectory()
   const recordOpened = (service: string): void => metrics.connectionsOpened.inc({ service })
-  const checkRole: GroupTableOptions['checkRole'] = (group, entry) => { questions.checkRole(group, entry).catch((error: unknown) => logger.error('endpoint role check failed', { error: String(error) })) }
+  const checkRole: GroupTableOptions['checkRole'] = (group, entry) => { leadershipVerifier.checkRole(group, entry).catch((error: unknown) => logger.error('endpoint role check failed', { error: String(error) })) }
   const groups = new GroupTable({ connector, clock, logger, configuration, members, recordOpened, checkRole })
   const counting = new CountingVms(members)
-  const quotas = new QuotaKeeper({ settings, clock, configuration, members, counting })
+  const quotas = new QuotaCounter({ settings, clock, configuration, members, counting })
   const quotaRecord = new QuotaRecord({ store, clock, logger, members, quotas })
   const network = createNetwork(self, members, logger)
   const fleetMessageHandler = new FleetMessageHandler({ clock, logger, self, configuration, groups, quotas, members, quotaRecord })
@@ -147,10 +147,10 @@
   const host = { clock, logger, vm: settings.vm, control: controlConnections, claims, promoter, ...fleetMessageHandler.createPromotionCallbacks() }
   const recordResult = (service: string, result: string): void => metrics.promotions.inc({ service, result })
   const failover = new FailoverWatch({ clock, logger, members, host, listGroups: () => groups.list(), poll: () => fleet.poll(), recordResult })
-  const permits = new PermitRequests({ clock, logger, windowMs: settings.quota.windowS * MS_PER_SECOND, counting, quotas, send: (vm, message) => fleet.send(vm, message) })
-  network.subscribeLoss(vm => permits.handleLoss(vm))
+  const permits = new PermitClient({ clock, logger, windowMs: settings.quota.windowS * MS_PER_SECOND, counting, quotas, send: (vm, message) => fleet.send(vm, message) })
+  network.subscribeLoss(vm => permits.handleLinkLoss(vm))
   fleetMessageHandler.connect(fleet, failover, permits)
-  return { settings, adapters, logger, clock, metrics, configuration, directory, members, groups, quotas, permits, quotaRecord, questions, network, fleet, failover }
+  return { settings, adapters, logger, clock, metrics, configuration, directory, members, groups, quotas, permits, quotaRecord, leadershipVerifier, network, fleet, failover }
 }
 
 function createNetwork (self: VmEntry, members: MemberState, logger: Logger): WsPeerNetwork {
--- a/packages/gateway/src/clients/client-listener.ts
+++ b/packages/gateway/src/clients/client-listener.ts
@@ -1,7 +1,7 @@
 import type { AnswerError, ClientStatement, TransactionState } from '../backend/statement.ts'
 
 /** Response to one statement of a client. */
-export interface ClientAnswer {
+export interface ClientResponse {
   rows?: readonly string[]
   /** The endpoint's signature; absent if the gateway responds without an endpoint. */
   signature?: string | null
@@ -17,7 +17,7 @@
   abstract sendWelcome (): void
   /** Refuses the session and closes the connection. */
   abstract sendRefusal (error: AnswerError): void
-  abstract sendAnswer (answer: ClientAnswer): void
+  abstract sendResponse (answer: ClientResponse): void
   abstract close (): void
 }
 
--- a/packages/gateway/src/configuration/configuration-holder.ts
+++ b/packages/gateway/src/configuration/configuration-holder.ts
@@ -34,7 +34,7 @@
   }
 
   /** Waits for the first configuration. @returns `null` if there is none after `waitMs` milliseconds */
-  async waitFirst (waitMs: number): Promise<Configuration | null> {
+  async waitForFirst (waitMs: number): Promise<Configuration | null> {
     if (this.#current !== null) return this.#current
     return await new Promise(resolve => {
       const timer = setTimeout(() => resolve(this.#current), waitMs)
--- a/packages/gateway/src/failover/decide-promotion.test.ts
+++ b/packages/gateway/src/failover/decide-promotion.test.ts
@@ -63,7 +63,7 @@
   return { endpoint, received: at(index), isDraining: false, ageMs: 60_000, isOldPrimary: false, ...options }
 }
 
-const allFenced = { unfencedReplicas: 0, acknowledged: null, isEveryVmHeard: true }
+const allFenced = { unfencedReplicas: 0, acknowledged: null, hasEveryVmConfirmed: true }
 
 describe('pickCandidate', () => {
   it('picks the most advanced replica', () => {
@@ -76,9 +76,9 @@
 
   it('picks none while an unfenced replica may hold more acknowledged writes', () => {
     const fenced = [createFenced('a', 9)]
-    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: false })).to.equal(undefined)
-    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(10), isEveryVmHeard: true })).to.equal(undefined)
-    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), isEveryVmHeard: true })?.endpoint).to.equal('a')
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), hasEveryVmConfirmed: false })).to.equal(undefined)
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(10), hasEveryVmConfirmed: true })).to.equal(undefined)
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: at(9), hasEveryVmConfirmed: true })?.endpoint).to.equal('a')
   })
 
   it('does not rely on a replica that has just started with an empty log', () => {
@@ -89,7 +89,7 @@
 
   it('relies on the log of the old primary once that has stepped down', () => {
     const fenced = [createFenced('old', 9, { isOldPrimary: true, isDraining: true }), createFenced('a', 9)]
-    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: null, isEveryVmHeard: false })?.endpoint).to.equal('a')
+    expect(pickCandidate({ fenced, unfencedReplicas: 1, acknowledged: null, hasEveryVmConfirmed: false })?.endpoint).to.equal('a')
   })
 
   /** A commit is acknowledged once one of the replicas has received it. Some replicas are lost or restarted, and some VMs do not respond. */
@@ -108,9 +108,9 @@
       if (isRestarted) received[1] = 0
       const isMissing = random() < 0.2
       const fenced = [createFenced('a', received[0]!), createFenced('b', received[1]!, { ageMs: isRestarted ? 800 : 60_000 })].slice(0, isMissing ? 1 : 2)
-      const isEveryVmHeard = random() < 0.7
-      const known = isEveryVmHeard ? acknowledged : Math.floor(random() * acknowledged)
-      const picked = pickCandidate({ fenced, unfencedReplicas: isMissing ? 1 : 0, acknowledged: at(known), isEveryVmHeard })
+      const hasEveryVmConfirmed = random() < 0.7
+      const known = hasEveryVmConfirmed ? acknowledged : Math.floor(random() * acknowledged)
+      const picked = pickCandidate({ fenced, unfencedReplicas: isMissing ? 1 : 0, acknowledged: at(known), hasEveryVmConfirmed })
       if (picked !== undefined) expect(picked.received.index, `run ${run}`).to.be.at.least(acknowledged)
     }
   })
--- a/packages/gateway/src/failover/decide-promotion.ts
+++ b/packages/gateway/src/failover/decide-promotion.ts
@@ -1,5 +1,5 @@
 import { comparePositions, type LogPosition } from '@camphorpitch/wire'
-import { SILENT_AFTER_MS } from '../pool/endpoint-health.ts'
+import { UNRESPONSIVE_AFTER_MS } from '../pool/endpoint-health.ts'
 
 /** An endpoint that has refused connections for this long counts as lost. */
 const REFUSED_TIMEOUT_MS = 200
@@ -60,8 +60,8 @@
 
 function isPrimaryLost ({ isRegistered, unresponsiveMs, connectionRefusedMs, sinceLastResponseMs }: PromotionEvidence, delayMs: number): boolean {
   if (connectionRefusedMs >= REFUSED_TIMEOUT_MS + delayMs) return sinceLastResponseMs >= REFUSED_TIMEOUT_MS
-  const isUnavailable = unresponsiveMs >= SILENT_AFTER_MS + delayMs || !isRegistered
-  return isUnavailable && sinceLastResponseMs >= SILENT_AFTER_MS + delayMs
+  const isUnavailable = unresponsiveMs >= UNRESPONSIVE_AFTER_MS + delayMs || !isRegistered
+  return isUnavailable && sinceLastResponseMs >= UNRESPONSIVE_AFTER_MS + delayMs
 }
 
 /** An endpoint that no longer receives log entries from the old primary, or the old primary itself after it stepped down. */
@@ -82,7 +82,7 @@
   /** Latest position that any VM knows to be acknowledged. */
   acknowledged: LogPosition | null
   /** Whether every VM that may be running has reported the latest acknowledged position it knows. */
-  isEveryVmHeard: boolean
+  hasEveryVmConfirmed: boolean
 }
 
 /**
@@ -94,12 +94,12 @@
  *
  * @returns `undefined` if no choice is safe
  */
-export function pickCandidate ({ fenced, unfencedReplicas, acknowledged, isEveryVmHeard }: CandidateOptions): FencedEndpoint | undefined {
+export function pickCandidate ({ fenced, unfencedReplicas, acknowledged, hasEveryVmConfirmed }: CandidateOptions): FencedEndpoint | undefined {
   const hasOldPrimary = fenced.some(f => f.isOldPrimary)
   const latest = fenced.reduce<LogPosition | null>((max, f) => max === null || comparePositions(f.received, max) > 0 ? f.received : max, null)
   if (latest === null) return undefined
   const hasEveryCommit = hasOldPrimary || (unfencedReplicas === 0 && fenced.every(f => f.ageMs >= RECENT_START_MS))
-  const hasKnownCommits = isEveryVmHeard && acknowledged !== null && comparePositions(latest, acknowledged) >= 0
+  const hasKnownCommits = hasEveryVmConfirmed && acknowledged !== null && comparePositions(latest, acknowledged) >= 0
   if (!hasEveryCommit && !hasKnownCommits) return undefined
   const mostAdvanced = fenced.filter(f => comparePositions(f.received, latest) === 0)
   const preferred = mostAdvanced.filter(f => !f.isDraining && !f.isOldPrimary)
--- a/packages/gateway/src/failover/duty-claim.test.ts
+++ b/packages/gateway/src/failover/duty-claim.test.ts
@@ -42,9 +42,9 @@
     store.isDown = true
     expect(await a.claim('orders').then(() => 'claimed', () => 'failed')).to.equal('failed')
     store.isDown = false
-    store.losesAnswers = true
+    store.losesResponses = true
     expect(await a.claim('orders').then(() => 'claimed', () => 'failed')).to.equal('failed')
-    store.losesAnswers = false
+    store.losesResponses = false
     expect((await a.claim('orders'))!.fencingToken).to.equal(store.revision)
   })
 
@@ -58,7 +58,7 @@
       for (let step = 0; step < 120; step++) {
         clock.nowMs += random() * 900
         store.isDown = random() < 0.1
-        store.losesAnswers = random() < 0.1
+        store.losesResponses = random() < 0.1
         const vm = vms[Math.floor(random() * vms.length)]!
         if (vm.held === null) vm.held = await vm.claims.claim('orders').catch(() => null)
         else if (random() < 0.3) {
--- a/packages/gateway/src/failover/failover-watch.ts
+++ b/packages/gateway/src/failover/failover-watch.ts
@@ -1,8 +1,8 @@
 import { describeError, type Clock, type Logger } from '@camphorpitch/wire'
-import { computeRank, listHeard, listPossible, type MemberState } from '../fleet/members.ts'
-import { isRevoked } from '../freshness/group-state.ts'
+import { computeRank, listResponsive, listPossiblyRunning, type MemberState } from '../fleet/members.ts'
+import { isLeadershipRevoked } from '../freshness/group-state.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
-import { measureSilence } from '../pool/endpoint-health.ts'
+import { measureUnansweredMs } from '../pool/endpoint-health.ts'
 import { findPromotionReason, type PromotionEvidence } from './decide-promotion.ts'
 import { runPromotion, type PromotionHost } from './run-promotion.ts'
 
@@ -52,7 +52,7 @@
   }
 
   /** Records that a primary was found or promoted, which delays the next attempt for the service. */
-  recordChange (service: string): void {
+  recordPrimaryChange (service: string): void {
     this.#nextAttemptMs.set(service, this.#options.clock.readNow() + MIN_PROMOTION_INTERVAL_MS)
   }
 
@@ -66,7 +66,7 @@
     const { service } = group
     const nowMs = this.#options.clock.readNow()
     // Another VM that had this VM revoke the primary's leadership is already replacing the primary.
-    if (this.#runningServices.has(service) || isRevoked(group.state, nowMs)) return
+    if (this.#runningServices.has(service) || isLeadershipRevoked(group.state, nowMs)) return
     const evidence = this.#collectEvidence(group, nowMs)
     if (evidence.unresponsiveMs >= REPORT_POLL_AFTER_MS || evidence.connectionRefusedMs > 0) this.#options.poll()
     if (nowMs < (this.#nextAttemptMs.get(service) ?? -Infinity)) return
@@ -77,7 +77,7 @@
     this.#nextAttemptMs.set(service, nowMs + ATTEMPT_INTERVAL_MS)
     runPromotion(this.#options.host, group, reason).then(promoted => {
       this.#options.recordResult(service, promoted === null ? 'none' : 'promoted')
-      if (promoted !== null) this.recordChange(service)
+      if (promoted !== null) this.recordPrimaryChange(service)
     }, (error: unknown) => {
       this.#options.logger.info('promotion attempt aborted', { service, reason: describeError(error) })
     }).finally(() => {
@@ -97,13 +97,13 @@
       hasPrimary: state.primary !== null,
       isRegistered: primaryPool !== undefined,
       drainingMs: primaryPool?.measureDraining(nowMs) ?? 0,
-      unresponsiveMs: health === undefined ? 0 : measureSilence(health, nowMs),
+      unresponsiveMs: health === undefined ? 0 : measureUnansweredMs(health, nowMs),
       connectionRefusedMs: health?.refusedSinceMs == null ? 0 : nowMs - health.refusedSinceMs,
-      sinceLastResponseMs: nowMs - Math.max(state.heardAtMs, health?.heardAtMs ?? -Infinity, ...views.map(v => v.heardAtMs)),
+      sinceLastResponseMs: nowMs - Math.max(state.lastResponseAtMs, health?.lastResponseAtMs ?? -Infinity, ...views.map(v => v.lastResponseAtMs)),
       pendingWriteMs: Math.max(localPendingMs, ...views.map(v => v.pendingWriteMs)),
       sinceAcknowledgedMs: nowMs - Math.max(state.acknowledgedAtMs, ...views.map(v => v.acknowledgedAtMs)),
       withoutPrimaryMs: group.withoutPrimarySinceMs === null ? 0 : nowMs - group.withoutPrimarySinceMs,
-      isIsolated: listHeard(members, nowMs).length === 0 && listPossible(members, nowMs).length > 0,
+      isIsolated: listResponsive(members, nowMs).length === 0 && listPossiblyRunning(members, nowMs).length > 0,
       rank: computeRank(members, group.service, nowMs),
       hasCandidate: candidates.length > 0
     }
--- a/packages/gateway/src/failover/run-promotion.ts
+++ b/packages/gateway/src/failover/run-promotion.ts
@@ -25,7 +25,7 @@
 /** Result of the request to all VMs to revoke the leadership of a primary. */
 export interface Revocation {
   /** Whether every VM that may be running has confirmed. */
-  isEveryVmHeard: boolean
+  hasEveryVmConfirmed: boolean
   /** Latest position that any of the VMs that confirmed knows to be acknowledged; `null` if none knows one. */
   acknowledged: LogPosition | null
 }
@@ -41,10 +41,10 @@
   /** Has all VMs, this one included, revoke the primary's leadership: they no longer send it reads on the strength of its lease. Waits for `waitMs` at most. */
   revoke: (group: ServiceGroup, term: number, isPlanned: boolean, waitMs: number) => Promise<Revocation>
   /**
-   * Tells all VMs the outcome of the attempt: the endpoint that was primary at `ledAtMs`, or `null` if
+   * Tells all VMs the outcome of the attempt: the endpoint that was primary at `leadershipVerifiedAtMs`, or `null` if
    * no endpoint was promoted.
    */
-  publishOutcome: (group: ServiceGroup, endpoint: string | null, term: number, ledAtMs: number) => void
+  publishOutcome: (group: ServiceGroup, endpoint: string | null, term: number, leadershipVerifiedAtMs: number) => void
 }
 
 interface Attempt {
@@ -100,7 +100,7 @@
   const fenced = isPlanned ? await fencePlannedChange(attempt) : await fenceReplicas(attempt)
   const fencedAtMs = host.clock.readNow()
   const revocation = await pendingRevocation
-  if (!revocation.isEveryVmHeard) await waitForLeases(attempt, fencedAtMs)
+  if (!revocation.hasEveryVmConfirmed) await waitForLeases(attempt, fencedAtMs)
   const unfencedReplicas = isPlanned ? 0 : attempt.replicas.length - fenced.filter(f => !f.isOldPrimary).length
   const candidate = pickCandidate({ fenced, unfencedReplicas, ...revocation })
   host.logger.info('promotion candidates compared', { service: group.service, candidate: candidate?.endpoint, fenced, unfencedReplicas, ...revocation })
--- a/packages/gateway/src/failover/verify-leadership.test.ts
+++ b/packages/gateway/src/failover/verify-leadership.test.ts
@@ -2,11 +2,11 @@
 import { expect } from 'chai'
 import { EndpointConnector, type EndpointConnection, type EndpointStatus } from '../backend/endpoint-connector.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { isPrimaryFresh, revokeTrust, updatePrimary } from '../freshness/group-state.ts'
+import { isPrimaryFresh, revokeLeadership, updatePrimary } from '../freshness/group-state.ts'
 import { ServiceGroup } from '../groups/service-group.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
 import { ControlConnections } from './control-connections.ts'
-import { LeadershipQuestions } from './verify-leadership.ts'
+import { LeadershipVerifier } from './verify-leadership.ts'
 
 const logger = createLogger({ process: 'test', level: 'silent' })
 
@@ -20,17 +20,17 @@
   }
 }
 
-function createFixture (startedAtMs = 0): { connector: FakeConnector, clock: VirtualClock, group: ServiceGroup, verifier: LeadershipQuestions } {
+function createFixture (startedAtMs = 0): { connector: FakeConnector, clock: VirtualClock, group: ServiceGroup, verifier: LeadershipVerifier } {
   const connector = new FakeConnector()
   const clock = new VirtualClock()
   clock.nowMs = 10_000
-  const group = new ServiceGroup({ service: 's', connector, clock, logger, readLimits: () => ({ kept: 1, most: 1 }), recordOpened: () => {} })
+  const group = new ServiceGroup({ service: 's', connector, clock, logger, readLimits: () => ({ retainedConnections: 1, maxOpenConnections: 1 }), recordOpened: () => {} })
   const entry: EndpointEntry = { endpoint: 'p', service: 's', address: '127.0.0.1:1', failureDomain: 'north', role: 'primary', isDraining: false, slots: 3, warmupLeftMs: 0, startedAtMs }
   group.updateEntry(entry)
   for (const endpoint of ['a', 'b']) group.updateEntry({ ...entry, endpoint, role: 'replica' })
   updatePrimary(group.state, 'p', 1)
   connector.statuses.set('p', { role: 'primary' })
-  return { connector, clock, group, verifier: new LeadershipQuestions({ clock, logger, control: new ControlConnections(connector) }) }
+  return { connector, clock, group, verifier: new LeadershipVerifier({ clock, logger, control: new ControlConnections(connector) }) }
 }
 
 describe('verification of leadership', () => {
@@ -74,7 +74,7 @@
 
   it('keeps the known primary while a promotion is in progress', async () => {
     const { group, verifier, clock, connector } = createFixture()
-    revokeTrust(group.state, 'p', 2, clock.nowMs)
+    revokeLeadership(group.state, 'p', 2, clock.nowMs)
     connector.statuses.set('p', { role: 'replica' })
     await verifier.findPrimary(group)
     expect(group.state.primary?.endpoint).to.equal('p')
--- a/packages/gateway/src/failover/verify-leadership.ts
+++ b/packages/gateway/src/failover/verify-leadership.ts
@@ -1,6 +1,6 @@
 import { describeError, type Clock, type Logger } from '@camphorpitch/wire'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { isRevoked, recordLeadership } from '../freshness/group-state.ts'
+import { isLeadershipRevoked, recordLeadership } from '../freshness/group-state.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
 import { waitFor } from '../runtime/wait-at-most.ts'
 import type { ControlConnections } from './control-connections.ts'
@@ -10,7 +10,7 @@
 /** Shortest time between two queries of the same kind to a group. */
 const MIN_QUERY_INTERVAL_MS = 200
 
-export interface LeadershipQuestionsOptions {
+export interface LeadershipVerifierOptions {
   clock: Clock
   logger: Logger
   control: ControlConnections
@@ -22,12 +22,12 @@
  * A replica that is not paused and follows the primary's term proves that the group was not fenced when the status request
  * was sent, since a promotion pauses every replica first.
  */
-export class LeadershipQuestions {
-  readonly #options: LeadershipQuestionsOptions
+export class LeadershipVerifier {
+  readonly #options: LeadershipVerifierOptions
   readonly #running = new Map<string, Promise<void>>()
   readonly #queriedAtMs = new Map<string, number>()
 
-  constructor (options: LeadershipQuestionsOptions) {
+  constructor (options: LeadershipVerifierOptions) {
     this.#options = options
   }
 
@@ -43,7 +43,7 @@
       const hasLeader = roles.includes('primary')
       const primaryIndex = [...group.pools.keys()].indexOf(group.state.primary?.endpoint ?? '')
       // During a promotion no endpoint leads for a moment; its outcome will tell the new primary.
-      const isBeingReplaced = isRevoked(group.state, this.#options.clock.readNow())
+      const isBeingReplaced = isLeadershipRevoked(group.state, this.#options.clock.readNow())
       if (!hasLeader && !isBeingReplaced && roles[primaryIndex] === 'replica') group.resetPrimary()
     })
   }
--- a/packages/gateway/src/fleet/fleet-messages.ts
+++ b/packages/gateway/src/fleet/fleet-message-handler.ts
@@ -2,17 +2,17 @@
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import type { FailoverWatch } from '../failover/failover-watch.ts'
 import type { PromotionHost, Revocation } from '../failover/run-promotion.ts'
-import { isRevoked, recordLeadership, restoreTrust, revokeTrust } from '../freshness/group-state.ts'
+import { isLeadershipRevoked, recordLeadership, restoreLeadership, revokeLeadership } from '../freshness/group-state.ts'
 import type { GroupTable } from '../groups/group-table.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { QuotaRecord } from '../limits/quota-record.ts'
-import type { PermitRequests } from '../limits/permit-requests.ts'
-import type { QuotaKeeper } from '../limits/quota-keeper.ts'
+import type { PermitClient } from '../limits/permit-requests.ts'
+import type { QuotaCounter } from '../limits/quota-counter.ts'
 import type { Fleet, FleetOptions, Poll } from './fleet.ts'
 import { applyReportedVersion, createConfigurationFetch, resetConfigurationFetch } from './configuration-fetch.ts'
 import { applyGroupReport, createGroupReport } from './group-reports.ts'
-import { listRecentlyResponsive, listPossible, type MemberState } from './members.ts'
-import { decodeGroupReport, encodeGroupReport, type FleetMessage, type Report, type VmEntry } from './messages.ts'
+import { listRecentlyResponsive, listPossiblyRunning, type MemberState } from './members.ts'
+import { decodeGroupReport, encodeGroupReport, type FleetMessage, type Report, type VmEntry } from './message-schemas.ts'
 import { addLocalPosition, RevocationCollector } from './revocations.ts'
 
 /** Number of polls after a start that carry the sender's VM entry, for VMs that do not know it yet. */
@@ -26,7 +26,7 @@
   self: VmEntry
   configuration: ConfigurationHolder
   groups: GroupTable
-  quotas: QuotaKeeper
+  quotas: QuotaCounter
   members: MemberState
   quotaRecord: QuotaRecord
 }
@@ -38,7 +38,7 @@
   readonly #configurationFetch = createConfigurationFetch()
   #fleet: Fleet | undefined
   #failover: FailoverWatch | undefined
-  #permitRequests: PermitRequests | undefined
+  #permitRequests: PermitClient | undefined
   #lastAttemptNumber = 0
 
   constructor (options: FleetMessageHandlerOptions) {
@@ -47,7 +47,7 @@
   }
 
   /** Sets the slices that messages are passed to; they are created after this handler. */
-  connect (fleet: Fleet, failover: FailoverWatch, permitRequests: PermitRequests): void {
+  connect (fleet: Fleet, failover: FailoverWatch, permitRequests: PermitClient): void {
     this.#fleet = fleet
     this.#failover = failover
     this.#permitRequests = permitRequests
@@ -94,7 +94,7 @@
       configurationVersion: configuration.version
     }
     const recentlyResponsive = listRecentlyResponsive(members, nowMs)
-    if (members.isListed && recentlyResponsive.length + 1 > poll.vmsKnown) report.vms = recentlyResponsive.map(m => m.entry)
+    if (members.hasMemberList && recentlyResponsive.length + 1 > poll.vmsKnown) report.vms = recentlyResponsive.map(m => m.entry)
     return report
   }
 
@@ -114,10 +114,10 @@
   #handleMessage (vm: string, message: FleetMessage): void {
     if (message.type === 'revoked') this.#revocations.confirm(message.attempt, vm, message.acknowledged)
     else if (message.type === 'promoted') this.#handlePromotionOutcome(vm, message)
-    else if (message.type === 'permit') this.#fleet?.send(vm, this.#options.quotas.answerPermit(message))
+    else if (message.type === 'permit') this.#fleet?.send(vm, this.#options.quotas.decidePermit(message))
     else if (message.type === 'configurationWanted') this.#sendConfiguration(vm)
     else if (message.type === 'configurationOffered') this.#options.configuration.apply(message.configuration, `vm ${vm}`)
-    else if (message.type === 'permitted') this.#permitRequests?.handleAnswer(vm, message)
+    else if (message.type === 'permitted') this.#permitRequests?.handleResponse(vm, message)
     else if (message.type === 'revoke') {
       this.#handleRevoke(vm, message).catch((error: unknown) => this.#options.logger.error('leadership revocation failed', { error: String(error) }))
     }
@@ -139,7 +139,7 @@
   }
 
   async #revokeLocalLeadership (group: ServiceGroup, endpoint: string, term: number, isPlanned: boolean): Promise<void> {
-    revokeTrust(group.state, endpoint, term, this.#options.clock.readNow())
+    revokeLeadership(group.state, endpoint, term, this.#options.clock.readNow())
     if (isPlanned) await group.waitUntil(() => group.writesInFlight === 0, WRITE_COMPLETION_TIMEOUT_MS)
   }
 
@@ -147,7 +147,7 @@
     const { clock, members, self } = this.#options
     const endpoint = group.state.primary?.endpoint ?? ''
     const attempt = `${self.vm}-${self.incarnation}-${++this.#lastAttemptNumber}`
-    const vms = listPossible(members, clock.readNow()).map(m => m.entry.vm)
+    const vms = listPossiblyRunning(members, clock.readNow()).map(m => m.entry.vm)
     const confirmations = this.#revocations.collect(attempt, vms, waitMs)
     for (const vm of vms) this.#fleet?.send(vm, { type: 'revoke', service: group.service, endpoint, term, attempt, isPlanned })
     await this.#revokeLocalLeadership(group, endpoint, term, isPlanned)
@@ -165,11 +165,11 @@
     const group = this.#options.groups.find(service)
     if (group === undefined) return
     if (endpoint === undefined) {
-      if (isRevoked(group.state, this.#options.clock.readNow())) restoreTrust(group.state)
+      if (isLeadershipRevoked(group.state, this.#options.clock.readNow())) restoreLeadership(group.state)
       group.publishChange()
       return
     }
-    this.#failover?.recordChange(service)
+    this.#failover?.recordPrimaryChange(service)
     group.adoptPrimary(endpoint, term, `promoted by ${vm}`)
     if (vm !== this.#options.self.vm) this.#fleet?.poll() // The promoting VM's report carries the proof that the new primary leads.
   }
--- a/packages/gateway/src/fleet/fleet.ts
+++ b/packages/gateway/src/fleet/fleet.ts
@@ -2,8 +2,8 @@
 import type { z } from 'zod'
 import { RevisionConflictError, type MetadataStore } from '../metadata/metadata-store.ts'
 import { watchKind, type KindWatch } from '../metadata/watch-kind.ts'
-import { addMember, REMOVE_ENTRY_AFTER_MS, isHeard, listPolled, measureUnansweredMs, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
-import { fleetMessageSchema, vmEntrySchema, type FleetMessage, type pollSchema, type Report } from './messages.ts'
+import { addMember, REMOVE_ENTRY_AFTER_MS, isResponsive, listPolled, measureUnansweredMs, recordLeft, recordPoll, recordReport, removeMember, type MemberState } from './members.ts'
+import { fleetMessageSchema, vmEntrySchema, type FleetMessage, type pollSchema, type Report } from './message-schemas.ts'
 
 export const FLEET_SLICE = 'fleet'
 /** Time between two rounds of polls. */
@@ -74,7 +74,7 @@
       waitMs: VMS_WATCH_TIMEOUT_MS,
       pauseMs: VMS_WATCH_PAUSE_MS,
       applyListing: ({ items }) => {
-        this.#options.state.isListed = true
+        this.#options.state.hasMemberList = true
         for (const item of items) this.#addEntry(item.value)
       },
       applyChanges: changes => {
@@ -162,10 +162,10 @@
     if (pollSentAtMs === undefined) return
     const { state, clock, logger, applyReport } = this.#options
     const member = state.members.get(vm)
-    if (member !== undefined && !isHeard(member, clock.readNow())) logger.info('vm became responsive', { vm })
+    if (member !== undefined && !isResponsive(member, clock.readNow())) logger.info('vm became responsive', { vm })
     recordReport(state, vm, pollSentAtMs)
     for (const entry of report.vms ?? []) this.#addEntry(entry)
-    if (report.vms !== undefined) state.isListed = true
+    if (report.vms !== undefined) state.hasMemberList = true
     applyReport(vm, report, pollSentAtMs)
   }
 
--- a/packages/gateway/src/fleet/group-reports.test.ts
+++ b/packages/gateway/src/fleet/group-reports.test.ts
@@ -1,18 +1,18 @@
 import { createLogger, createSeededRandom } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import { EndpointConnector, type EndpointConnection } from '../backend/endpoint-connector.ts'
-import { findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordAnswer, recordCommit, updatePrimary } from '../freshness/group-state.ts'
+import { findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordPrimaryResponse, recordCommit, updatePrimary } from '../freshness/group-state.ts'
 import { ServiceGroup } from '../groups/service-group.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
 import { applyGroupReport, createGroupReport } from './group-reports.ts'
-import { decodeGroupReport, encodeGroupReport } from './messages.ts'
+import { decodeGroupReport, encodeGroupReport } from './message-schemas.ts'
 
 class NoConnector extends EndpointConnector {
   override async connect (): Promise<EndpointConnection> { return await new Promise(() => {}) }
 }
 
 function createGroup (): ServiceGroup {
-  return new ServiceGroup({ service: 's', connector: new NoConnector(), clock: new VirtualClock(), logger: createLogger({ process: 'test', level: 'silent' }), readLimits: () => ({ kept: 1, most: 1 }), recordOpened: () => {} })
+  return new ServiceGroup({ service: 's', connector: new NoConnector(), clock: new VirtualClock(), logger: createLogger({ process: 'test', level: 'silent' }), readLimits: () => ({ retainedConnections: 1, maxOpenConnections: 1 }), recordOpened: () => {} })
 }
 
 /** Reports what `from` knows at `reportSentAtMs` to `to`, whose poll was sent at `pollSentAtMs`. */
@@ -26,7 +26,7 @@
     const [reporter, receiver] = [createGroup(), createGroup()]
     updatePrimary(reporter.state, 'p', 3)
     recordCommit(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
-    recordAnswer(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
+    recordPrimaryResponse(reporter.state, 'p', 1_000, { term: 3, index: 7 }, 1_010)
     exchangeReport(reporter, receiver, 1_095, 1_100)
     expect(receiver.state.primary).to.deep.equal({ endpoint: 'p', term: 3 })
     expect(isPrimaryFresh(receiver.state, 0, 1_100)).to.equal(true)
@@ -41,10 +41,10 @@
       updatePrimary(reporter.state, 'p', 1)
       const provenAtMs = 1_000 + random() * 100
       recordCommit(reporter.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
-      recordAnswer(reporter.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
+      recordPrimaryResponse(reporter.state, 'p', provenAtMs, { term: 1, index: 7 }, provenAtMs + 5)
       const pollSentAtMs = provenAtMs + 5 + random() * 300
       exchangeReport(reporter, receiver, pollSentAtMs, pollSentAtMs + random() * 5_000)
-      expect(receiver.state.trustEndsMs).to.be.at.most(provenAtMs + LEADER_LEASE_MS)
+      expect(receiver.state.leadershipLeaseEndsMs).to.be.at.most(provenAtMs + LEADER_LEASE_MS)
       expect(receiver.state.samples[0]?.atMs ?? 0).to.be.at.most(provenAtMs)
     }
   })
--- a/packages/gateway/src/fleet/group-reports.ts
+++ b/packages/gateway/src/fleet/group-reports.ts
@@ -1,6 +1,6 @@
-import { addSample, LEADER_LEASE_MS, recordAcknowledged, recordLeadership } from '../freshness/group-state.ts'
+import { addSample, LEADER_LEASE_MS, recordAcknowledgedPosition, recordLeadership } from '../freshness/group-state.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
-import type { GroupReport } from './messages.ts'
+import type { GroupReport } from './message-schemas.ts'
 
 /** Measures the age of an event in whole milliseconds, rounded up; `null` for one that has not happened (`-Infinity`). */
 function measureAgeMs (atMs: number, nowMs: number): number | null {
@@ -9,18 +9,18 @@
 
 /** Describes what this VM knows about a group; `undefined` while it knows no primary. */
 export function createGroupReport (group: ServiceGroup, nowMs: number): GroupReport | undefined {
-  const { primary, trustEndsMs, samples, acknowledged, acknowledgedAtMs, heardAtMs } = group.state
+  const { primary, leadershipLeaseEndsMs, samples, acknowledged, acknowledgedAtMs, lastResponseAtMs } = group.state
   if (primary === null) return undefined
   const newestSample = samples[0]
   return {
     service: group.service,
     primary: primary.endpoint,
     term: primary.term,
-    leadershipAgeMs: measureAgeMs(trustEndsMs - LEADER_LEASE_MS, nowMs),
+    leadershipAgeMs: measureAgeMs(leadershipLeaseEndsMs - LEADER_LEASE_MS, nowMs),
     sample: newestSample === undefined ? null : { ageMs: Math.ceil(nowMs - newestSample.atMs), position: newestSample.position },
     acknowledged,
     acknowledgedAgeMs: measureAgeMs(acknowledgedAtMs, nowMs),
-    primaryResponseAgeMs: measureAgeMs(heardAtMs, nowMs),
+    primaryResponseAgeMs: measureAgeMs(lastResponseAtMs, nowMs),
     pendingWriteAgeMs: group.unansweredWriteSinceMs === null ? 0 : Math.max(0, Math.floor(nowMs - group.unansweredWriteSinceMs))
   }
 }
@@ -39,9 +39,9 @@
   if (state.primary?.endpoint !== report.primary) return
   if (report.leadershipAgeMs !== null) recordLeadership(state, report.primary, pollSentAtMs - report.leadershipAgeMs)
   if (report.sample !== null) addSample(state, { atMs: pollSentAtMs - report.sample.ageMs, position: report.sample.position })
-  if (report.acknowledged !== null) recordAcknowledged(state, report.acknowledged)
+  if (report.acknowledged !== null) recordAcknowledgedPosition(state, report.acknowledged)
   group.peers.set(vm, {
-    heardAtMs: pollSentAtMs - (report.primaryResponseAgeMs ?? Infinity),
+    lastResponseAtMs: pollSentAtMs - (report.primaryResponseAgeMs ?? Infinity),
     acknowledgedAtMs: pollSentAtMs - (report.acknowledgedAgeMs ?? Infinity),
     pendingWriteMs: report.pendingWriteAgeMs
   })
--- a/packages/gateway/src/fleet/members.test.ts
+++ b/packages/gateway/src/fleet/members.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
-import { addMember, computeRank, createMemberState, REMOVE_ENTRY_AFTER_MS, isHeard, listHeard, listPolled, listPossible, recordLeft, recordPoll, recordReport, UNRESPONSIVE_AFTER_MS, type MemberState } from './members.ts'
-import type { VmEntry } from './messages.ts'
+import { addMember, computeRank, createMemberState, REMOVE_ENTRY_AFTER_MS, isResponsive, listResponsive, listPolled, listPossiblyRunning, recordLeft, recordPoll, recordReport, UNRESPONSIVE_AFTER_MS, type MemberState } from './members.ts'
+import type { VmEntry } from './message-schemas.ts'
 
 function createEntry (vm: string, incarnation = 1): VmEntry {
   return { vm, host: '10.0.0.1', port: 7_500, failureDomain: 'north', region: 'r', incarnation }
@@ -24,17 +24,17 @@
   it('count as responsive until they have left a poll unanswered for too long', () => {
     const state = createMembers(2)
     const member = state.members.get('vm-1')!
-    expect(isHeard(member, 0)).to.equal(false)
+    expect(isResponsive(member, 0)).to.equal(false)
     recordPoll(member, 500)
     recordReport(state, 'vm-1', 500)
     recordPoll(member, 1_000)
     recordPoll(member, 1_500)
-    expect(isHeard(member, 1_000 + UNRESPONSIVE_AFTER_MS - 1)).to.equal(true)
-    expect(listHeard(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.deep.equal([])
-    expect(listPossible(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
-    expect(listPossible(state, 1_000 + REMOVE_ENTRY_AFTER_MS)).to.deep.equal([])
+    expect(isResponsive(member, 1_000 + UNRESPONSIVE_AFTER_MS - 1)).to.equal(true)
+    expect(listResponsive(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.deep.equal([])
+    expect(listPossiblyRunning(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
+    expect(listPossiblyRunning(state, 1_000 + REMOVE_ENTRY_AFTER_MS)).to.deep.equal([])
     recordReport(state, 'vm-1', 1_500)
-    expect(listHeard(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
+    expect(listResponsive(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
   })
 
   it('are all responsive in a large fleet in which each VM answers the polls that it receives in turn', () => {
@@ -46,7 +46,7 @@
         recordReport(state, member.entry.vm, nowMs)
       }
     }
-    expect(listHeard(state, 200 * 500)).to.have.length(299)
+    expect(listResponsive(state, 200 * 500)).to.have.length(299)
   })
 
   it('are polled mostly in the local region in a large fleet, with those of other regions in turn', () => {
--- a/packages/gateway/src/fleet/members.ts
+++ b/packages/gateway/src/fleet/members.ts
@@ -1,5 +1,5 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
-import type { VmEntry } from './messages.ts'
+import type { VmEntry } from './message-schemas.ts'
 
 /** A VM that has left a poll unanswered for this long counts as unresponsive: three rounds of polls. */
 export const UNRESPONSIVE_AFTER_MS = 1_500
@@ -31,11 +31,11 @@
   /** Number of changes to `members` so far. */
   changes: number
   /** Whether the members have been listed by the store, or by a VM that knew the store's list. */
-  isListed: boolean
+  hasMemberList: boolean
 }
 
 export function createMemberState (self: VmEntry): MemberState {
-  return { self, members: new Map(), left: new Map(), changes: 0, isListed: false }
+  return { self, members: new Map(), left: new Map(), changes: 0, hasMemberList: false }
 }
 
 /**
@@ -83,17 +83,17 @@
 }
 
 /** Whether a VM has answered a poll, and has no poll that has been unanswered for too long. */
-export function isHeard (member: Member, nowMs: number): boolean {
+export function isResponsive (member: Member, nowMs: number): boolean {
   return member.lastAnsweredPollSentAtMs > -Infinity && measureUnansweredMs(member, nowMs) < UNRESPONSIVE_AFTER_MS
 }
 
 /** Lists the responsive VMs, without the local one. */
-export function listHeard (state: MemberState, nowMs: number): Member[] {
-  return [...state.members.values()].filter(m => isHeard(m, nowMs))
+export function listResponsive (state: MemberState, nowMs: number): Member[] {
+  return [...state.members.values()].filter(m => isResponsive(m, nowMs))
 }
 
 /** Lists the VMs that may be running: all but those that have left polls unanswered for long. */
-export function listPossible (state: MemberState, nowMs: number): Member[] {
+export function listPossiblyRunning (state: MemberState, nowMs: number): Member[] {
   return [...state.members.values()].filter(m => measureUnansweredMs(m, nowMs) < PRESUMED_STOPPED_AFTER_MS)
 }
 
@@ -102,7 +102,7 @@
  * not reintroduce a stopped VM to each other.
  */
 export function listRecentlyResponsive (state: MemberState, nowMs: number): Member[] {
-  return listPossible(state, nowMs).filter(m => m.lastAnsweredPollSentAtMs > -Infinity)
+  return listPossiblyRunning(state, nowMs).filter(m => m.lastAnsweredPollSentAtMs > -Infinity)
 }
 
 /** Lists the VMs to poll in a round: all of a small fleet; of a large one a few in turn, mostly of the local region. */
@@ -127,5 +127,5 @@
 export function computeRank (state: MemberState, service: string, nowMs: number): number {
   const serviceHash = hashName(service)
   const localHash = hashPair(serviceHash, hashName(state.self.vm))
-  return listHeard(state, nowMs).filter(m => hashPair(serviceHash, hashName(m.entry.vm)) < localHash).length
+  return listResponsive(state, nowMs).filter(m => hashPair(serviceHash, hashName(m.entry.vm)) < localHash).length
 }
--- a/packages/gateway/src/fleet/revocations.ts
+++ b/packages/gateway/src/fleet/revocations.ts
@@ -30,7 +30,7 @@
       if (vms.length === 0) revocation.finish()
     })
     this.#pending.delete(attempt)
-    return { isEveryVmHeard: revocation.unconfirmedVms.size === 0, acknowledged: revocation.acknowledged }
+    return { hasEveryVmConfirmed: revocation.unconfirmedVms.size === 0, acknowledged: revocation.acknowledged }
   }
 
   /** Records a VM's confirmation; one for an attempt that is not being collected is ignored. */
--- a/packages/gateway/src/freshness/group-state.test.ts
+++ b/packages/gateway/src/freshness/group-state.test.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom, type LogPosition } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { addSample, createGroupState, findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordAnswer, recordCommit, recordLeadership, restoreTrust, revokeTrust, MAX_REVOCATION_MS, updatePrimary, type GroupState } from './group-state.ts'
+import { addSample, createGroupState, findRequiredPosition, isPrimaryFresh, LEADER_LEASE_MS, recordPrimaryResponse, recordCommit, recordLeadership, restoreLeadership, revokeLeadership, MAX_REVOCATION_MS, updatePrimary, type GroupState } from './group-state.ts'
 
 const at = (index: number, term = 1): LogPosition => ({ term, index })
 
@@ -28,7 +28,7 @@
 
   it('does not accept responses to reads as proof that the primary leads', () => {
     const state = createLedState()
-    for (let nowMs = 0; nowMs < 10_000; nowMs += 10) recordAnswer(state, 'a', nowMs, at(5), nowMs + 5)
+    for (let nowMs = 0; nowMs < 10_000; nowMs += 10) recordPrimaryResponse(state, 'a', nowMs, at(5), nowMs + 5)
     expect(isPrimaryFresh(state, 0, 5_000)).to.equal(false)
     expect(findRequiredPosition(state, 1_500, 5_000)).to.equal(undefined)
   })
@@ -36,7 +36,7 @@
   it('requires the oldest position that covers the allowed staleness', () => {
     const state = createLedState()
     recordLeadership(state, 'a', 10_000)
-    for (let i = 0; i < 10; i++) recordAnswer(state, 'a', 10_000 + i * 100, at(i), 10_010 + i * 100)
+    for (let i = 0; i < 10; i++) recordPrimaryResponse(state, 'a', 10_000 + i * 100, at(i), 10_010 + i * 100)
     expect(findRequiredPosition(state, 500, 11_000)).to.deep.equal(at(5))
     expect(findRequiredPosition(state, 50, 11_000)).to.equal(undefined)
   })
@@ -44,14 +44,14 @@
   it('accepts no proof of leadership after a revocation until the attempt fails or the revocation expires', () => {
     const state = createLedState()
     recordCommit(state, 'a', 1_000, at(5), 1_010)
-    revokeTrust(state, 'a', 2, 1_100)
+    revokeLeadership(state, 'a', 2, 1_100)
     expect(isPrimaryFresh(state, 0, 1_101)).to.equal(false)
     recordCommit(state, 'a', 1_150, at(6), 1_200)
     expect(isPrimaryFresh(state, 0, 1_201)).to.equal(false)
-    restoreTrust(state)
+    restoreLeadership(state)
     recordCommit(state, 'a', 1_300, at(7), 1_310)
     expect(isPrimaryFresh(state, 0, 1_400)).to.equal(true)
-    revokeTrust(state, 'a', 2, 2_000)
+    revokeLeadership(state, 'a', 2, 2_000)
     recordLeadership(state, 'a', 2_000 + MAX_REVOCATION_MS)
     expect(isPrimaryFresh(state, 0, 2_000 + MAX_REVOCATION_MS + 1)).to.equal(true)
   })
@@ -91,7 +91,7 @@
       for (let nowMs = 0; nowMs < 8_000; nowMs += 20 + random() * 60) {
         const isAcknowledged = random() < 0.4 && nowMs < fencedAtMs
         if (isAcknowledged) recordCommit(state, 'a', nowMs - 10, at(nowMs), nowMs)
-        recordAnswer(state, 'a', nowMs - 5, at(nowMs), nowMs)
+        recordPrimaryResponse(state, 'a', nowMs - 5, at(nowMs), nowMs)
         for (const staleMs of [0, 1_500, 2_500]) {
           const mustHoldNewCommits = nowMs - staleMs > firstNewCommitAtMs
           if (!mustHoldNewCommits) continue
--- a/packages/gateway/src/freshness/group-state.ts
+++ b/packages/gateway/src/freshness/group-state.ts
@@ -27,21 +27,21 @@
   service: string
   primary: KnownPrimary | null
   /** End of the leadership lease. Until then no other primary acknowledges a write, so reads from the primary are fresh. */
-  trustEndsMs: number
+  leadershipLeaseEndsMs: number
   /** Samples, the newest first. */
   samples: Sample[]
   /** Latest position known to be acknowledged. */
   acknowledged: LogPosition | null
   acknowledgedAtMs: number
   /** Time of the primary's last response to this VM. */
-  heardAtMs: number
+  lastResponseAtMs: number
   /** Until then the primary's leadership is revoked, as confirmed to the VM that runs a promotion. */
   revokedUntilMs: number
 }
 
 /** @example createGroupState('orders') */
 export function createGroupState (service: string): GroupState {
-  return { service, primary: null, trustEndsMs: -Infinity, samples: [], acknowledged: null, acknowledgedAtMs: -Infinity, heardAtMs: -Infinity, revokedUntilMs: -Infinity }
+  return { service, primary: null, leadershipLeaseEndsMs: -Infinity, samples: [], acknowledged: null, acknowledgedAtMs: -Infinity, lastResponseAtMs: -Infinity, revokedUntilMs: -Infinity }
 }
 
 /**
@@ -67,8 +67,8 @@
 
 function resetLeadership (state: GroupState): void {
   state.samples = []
-  state.trustEndsMs = -Infinity
-  state.heardAtMs = -Infinity
+  state.leadershipLeaseEndsMs = -Infinity
+  state.lastResponseAtMs = -Infinity
   state.revokedUntilMs = -Infinity
 }
 
@@ -78,7 +78,7 @@
  */
 export function recordLeadership (state: GroupState, endpoint: string, atMs: number): void {
   if (atMs < state.revokedUntilMs || state.primary?.endpoint !== endpoint) return
-  state.trustEndsMs = Math.max(state.trustEndsMs, atMs + LEADER_LEASE_MS)
+  state.leadershipLeaseEndsMs = Math.max(state.leadershipLeaseEndsMs, atMs + LEADER_LEASE_MS)
 }
 
 /**
@@ -92,19 +92,19 @@
   if (state.primary?.endpoint !== endpoint) return
   recordLeadership(state, endpoint, sentAtMs)
   state.acknowledgedAtMs = nowMs
-  if (position !== null) recordAcknowledged(state, position)
+  if (position !== null) recordAcknowledgedPosition(state, position)
 }
 
 /** Records a position that was acknowledged to this or another VM. */
-export function recordAcknowledged (state: GroupState, position: LogPosition): void {
+export function recordAcknowledgedPosition (state: GroupState, position: LogPosition): void {
   state.acknowledged = pickLaterPosition(state.acknowledged, position)
 }
 
 /** Records a response of the primary to a statement sent at `sentAtMs`, with the end of its log at that time. The position is kept as a sample only within the lease. */
-export function recordAnswer (state: GroupState, endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
+export function recordPrimaryResponse (state: GroupState, endpoint: string, sentAtMs: number, position: LogPosition | null, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint) return
-  state.heardAtMs = nowMs
-  if (position !== null && sentAtMs <= state.trustEndsMs) addSample(state, { atMs: sentAtMs, position })
+  state.lastResponseAtMs = nowMs
+  if (position !== null && sentAtMs <= state.leadershipLeaseEndsMs) addSample(state, { atMs: sentAtMs, position })
 }
 
 /** Adds a sample, ordered by time. */
@@ -121,25 +121,25 @@
 }
 
 /** Revokes the leadership lease of the endpoint on request of a promotion to `term`: reads no longer rely on it. Ignored if the known primary has a later term. */
-export function revokeTrust (state: GroupState, endpoint: string, term: number, nowMs: number): void {
+export function revokeLeadership (state: GroupState, endpoint: string, term: number, nowMs: number): void {
   if (state.primary?.endpoint !== endpoint || state.primary.term > term) return
-  state.trustEndsMs = Math.min(state.trustEndsMs, nowMs)
+  state.leadershipLeaseEndsMs = Math.min(state.leadershipLeaseEndsMs, nowMs)
   state.revokedUntilMs = nowMs + MAX_REVOCATION_MS
 }
 
 /** Ends a revocation after a promotion that promoted no endpoint, so that leadership can be verified again. */
-export function restoreTrust (state: GroupState): void {
+export function restoreLeadership (state: GroupState): void {
   state.revokedUntilMs = -Infinity
 }
 
 /** Whether the primary's leadership is revoked because a promotion is in progress. */
-export function isRevoked (state: GroupState, nowMs: number): boolean {
+export function isLeadershipRevoked (state: GroupState, nowMs: number): boolean {
   return nowMs < state.revokedUntilMs
 }
 
 /** Whether the primary's log holds every write acknowledged up to `maxStalenessMs` ago. */
 export function isPrimaryFresh (state: GroupState, maxStalenessMs: number, nowMs: number): boolean {
-  return nowMs - maxStalenessMs <= state.trustEndsMs
+  return nowMs - maxStalenessMs <= state.leadershipLeaseEndsMs
 }
 
 /**
--- a/packages/gateway/src/groups/group-table.ts
+++ b/packages/gateway/src/groups/group-table.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import type { DirectoryChange } from '../directory/directory.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { listHeard, type MemberState } from '../fleet/members.ts'
+import { listResponsive, type MemberState } from '../fleet/members.ts'
 import type { ConnectionLimits } from '../pool/connection-plan.ts'
 import { computeConnectionShare } from '../pool/connection-share.ts'
 import { ServiceGroup } from './service-group.ts'
@@ -70,7 +70,7 @@
     const { configuration, members, clock } = this.#options
     const service = configuration.current?.services.find(s => s.name === group.service)
     const { self } = members
-    const reachable = listHeard(members, clock.readNow())
+    const reachable = listResponsive(members, clock.readNow())
     const isLocal = self.failureDomain === entry.failureDomain
     const localVms = reachable.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
     const isPrimary = group.state.primary?.endpoint === entry.endpoint
--- a/packages/gateway/src/groups/service-group.ts
+++ b/packages/gateway/src/groups/service-group.ts
@@ -2,14 +2,14 @@
 import type { EndpointAnswer, EndpointConnector } from '../backend/endpoint-connector.ts'
 import { ConnectionLostError } from '../backend/errors.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { createGroupState, isRevoked, recordAnswer, recordCommit, updatePrimary, type GroupState } from '../freshness/group-state.ts'
+import { createGroupState, isLeadershipRevoked, recordPrimaryResponse, recordCommit, updatePrimary, type GroupState } from '../freshness/group-state.ts'
 import type { ConnectionLimits } from '../pool/connection-plan.ts'
-import { recordAnswered, recordSent, recordUnanswered } from '../pool/endpoint-health.ts'
+import { recordResponse, recordSent, recordNoResponse } from '../pool/endpoint-health.ts'
 import { EndpointPool } from '../pool/endpoint-pool.ts'
 import { waitAtMost } from '../runtime/wait-at-most.ts'
 
 /** A draining endpoint gets no new work after this long, although it continues to serve for some seconds more. */
-export const DRAINING_USE_MS = 4_000
+export const MAX_DRAINING_USE_MS = 4_000
 
 export interface ServiceGroupOptions {
   service: string
@@ -24,7 +24,7 @@
 /** What another VM reported about the primary. Times are on this VM's clock, in milliseconds. */
 export interface PeerReport {
   /** Time of the primary's last response to that VM. */
-  heardAtMs: number
+  lastResponseAtMs: number
   /** Time at which the primary last acknowledged a write of that VM. */
   acknowledgedAtMs: number
   /** For how long writes of that VM have been pending without a response. */
@@ -64,7 +64,7 @@
   get isWritable (): boolean {
     const nowMs = this.#options.clock.readNow()
     const pool = this.primaryPool
-    return pool !== undefined && pool.measureDraining(nowMs) < DRAINING_USE_MS && !isRevoked(this.state, nowMs)
+    return pool !== undefined && pool.measureDraining(nowMs) < MAX_DRAINING_USE_MS && !isLeadershipRevoked(this.state, nowMs)
   }
 
   /** Adds or updates a registered endpoint. An endpoint with a new address gets a new pool. */
@@ -126,12 +126,12 @@
     try {
       const response = await waitAtMost(send(), timeoutMs, () => new ConnectionLostError(`no answer within ${Math.round(timeoutMs)} ms`))
       const nowMs = clock.readNow()
-      recordAnswered(pool.health, sentAtMs, nowMs)
+      recordResponse(pool.health, sentAtMs, nowMs)
       if (isWrite) this.#recordWriteResponse(endpoint, sentAtMs, response, nowMs)
       this.#recordPosition(endpoint, sentAtMs, response.position, nowMs)
       return response
     } catch (error) {
-      recordUnanswered(pool.health, clock.readNow())
+      recordNoResponse(pool.health, clock.readNow())
       throw error
     } finally {
       if (isWrite) {
@@ -155,7 +155,7 @@
     const { primary } = this.state
     if (primary?.endpoint !== endpoint) return
     if (position !== null && position.term > primary.term) this.adoptPrimary(endpoint, position.term, 'answer')
-    recordAnswer(this.state, endpoint, sentAtMs, position, nowMs)
+    recordPrimaryResponse(this.state, endpoint, sentAtMs, position, nowMs)
   }
 
   /** Waits until `isDone` returns true, for at most `waitMs`. It is checked after each change of the group. @returns whether the condition was met */
--- a/packages/gateway/src/limits/counting-vms.ts
+++ b/packages/gateway/src/limits/counting-vms.ts
@@ -1,6 +1,6 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
 import type { MemberState } from '../fleet/members.ts'
-import type { VmEntry } from '../fleet/messages.ts'
+import type { VmEntry } from '../fleet/message-schemas.ts'
 
 /** In a fleet of up to this many VMs, each VM counts a share of every limit. Small sites run 8 to 9 VMs. */
 export const MAX_VMS_ALL_COUNTING = 9
--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -76,7 +76,7 @@
 export function createFleetDemand (shares: DemandShares, vms: number, hasAllReports: boolean): FleetDemand {
   const readTotal = (workspace: string): number => readTotalDemand(shares, workspace)
   const readShare = (workspace: string): number => computeQuotaShare({ own: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
-  return { vms, hasAllReports, isCountedByFew: false, readShare, readTotal }
+  return { vms, hasAllReports, isCountedByFewVms: false, readShare, readTotal }
 }
 
 /**
@@ -87,7 +87,7 @@
   return {
     vms: COUNTING_VMS_PER_LIMIT,
     hasAllReports: false,
-    isCountedByFew: true,
+    isCountedByFewVms: true,
     readShare: workspace => isCounting(workspace) ? 1 / COUNTING_VMS_PER_LIMIT : 0,
     readTotal: workspace => readTotalDemand(shares, workspace)
   }
--- a/packages/gateway/src/limits/permit-requests.test.ts
+++ b/packages/gateway/src/limits/permit-requests.test.ts
@@ -3,12 +3,12 @@
 import { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import type { Workspace } from '../configuration/configuration.ts'
 import { addMember, createMemberState, removeMember } from '../fleet/members.ts'
-import type { VmEntry } from '../fleet/messages.ts'
+import type { VmEntry } from '../fleet/message-schemas.ts'
 import { gatewaySettingsSchema } from '../settings.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
 import { COUNTING_VMS_PER_LIMIT, CountingVms, pickCountingVms } from './counting-vms.ts'
-import { PermitRequests } from './permit-requests.ts'
-import { QuotaKeeper } from './quota-keeper.ts'
+import { PermitClient } from './permit-requests.ts'
+import { QuotaCounter } from './quota-counter.ts'
 
 const logger = createLogger({ process: 'test', level: 'silent' })
 const REGIONS = ['east', 'west', 'north']
@@ -20,7 +20,7 @@
   return { vm: `vm-${index}`, host: '10.0.0.1', port: 7_500, failureDomain: `${region}-${index % 2}`, region, incarnation: 1 }
 }
 
-interface FakeVm { quotas: QuotaKeeper, permits: PermitRequests, members: ReturnType<typeof createMemberState> }
+interface FakeVm { quotas: QuotaCounter, permits: PermitClient, members: ReturnType<typeof createMemberState> }
 
 /** A fleet whose VMs request permits from each other over links that may be cut. */
 class FakeFleet {
@@ -42,14 +42,14 @@
   #createVm (self: VmEntry, entries: VmEntry[], workspaces: Workspace[]): FakeVm {
     const { clock } = this
     const members = createMemberState(self)
-    members.isListed = true
+    members.hasMemberList = true
     for (const entry of entries) addMember(members, entry)
     const configuration = new ConfigurationHolder(logger)
     configuration.apply({ version: 1, routes: [], services: [], workspaces, transactionIdleMs: 3_000 }, 'test')
     const settings = gatewaySettingsSchema.parse({ vm: self.vm, failureDomain: self.failureDomain, host: '10.0.0.1', clients: '10.0.0.1:1', readiness: '10.0.0.1:2', internalPorts: [1, 2], isFirstStart: true, store: '10.0.0.1:3', promoter: '10.0.0.1:4' })
     const counting = new CountingVms(members)
-    const quotas = new QuotaKeeper({ settings, clock, configuration, members, counting })
-    const permits = new PermitRequests({
+    const quotas = new QuotaCounter({ settings, clock, configuration, members, counting })
+    const permits = new PermitClient({
       clock,
       logger,
       windowMs: 5_000,
@@ -58,10 +58,10 @@
       send: (vm, message) => {
         this.messages++
         const other = this.vms.get(vm)
-        if (message.type !== 'permit' || other === undefined || this.cut.has(vm) || this.cut.has(self.vm)) return permits.handleLoss(vm)
-        const answer = other.quotas.answerPermit(message)
-        if (this.delayMs === 0) permits.handleAnswer(vm, answer)
-        else this.#delayedResponses.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleAnswer(vm, answer) })
+        if (message.type !== 'permit' || other === undefined || this.cut.has(vm) || this.cut.has(self.vm)) return permits.handleLinkLoss(vm)
+        const answer = other.quotas.decidePermit(message)
+        if (this.delayMs === 0) permits.handleResponse(vm, answer)
+        else this.#delayedResponses.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleResponse(vm, answer) })
       }
     })
     return { quotas, permits, members }
@@ -96,7 +96,7 @@
       if (random() >= readRatePerSecond(workspace, nowMs) * STEP_MS / 1_000) continue
       requested++
       const vm = fleet.vms.get(names[Math.floor(random() * names.length)]!)!
-      const verdict = vm.quotas.isCountedByFew(workspace.name) ? await vm.permits.request(workspace.name) : vm.quotas.admit(workspace.name)
+      const verdict = vm.quotas.isCountedByFewVms(workspace.name) ? await vm.permits.request(workspace.name) : vm.quotas.admit(workspace.name)
       if (verdict.isAdmitted) admitted.get(workspace.name)!.push(nowMs)
     }
   }
--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -1,8 +1,8 @@
 import type { Clock, Logger } from '@camphorpitch/wire'
-import type { FleetMessage, Permitted } from '../fleet/messages.ts'
+import type { FleetMessage, Permitted } from '../fleet/message-schemas.ts'
 import type { CountingVms } from './counting-vms.ts'
 import { createDemandWindow, recordDemand, sumDemand } from './demand-window.ts'
-import type { QuotaKeeper } from './quota-keeper.ts'
+import type { QuotaCounter } from './quota-counter.ts'
 import type { QuotaVerdict } from './quota.ts'
 
 /** Timeout of a request to a counting VM while a client waits for the verdict; well above a round trip between regions. */
@@ -20,13 +20,13 @@
 /** Weight of the latest count in the moving average of operations admitted in a window, from 0 to 1. */
 const USUAL_COUNT_WEIGHT = 0.1
 
-export interface PermitRequestsOptions {
+export interface PermitClientOptions {
   clock: Clock
   logger: Logger
   /** Window over which limits hold, in milliseconds. */
   windowMs: number
   counting: CountingVms
-  quotas: QuotaKeeper
+  quotas: QuotaCounter
   send: (vm: string, message: FleetMessage) => void
 }
 
@@ -52,15 +52,15 @@
  * counting VM afterwards. Without a confirmation from a counting VM, the operations admitted in a window are limited to one more
  * than this VM's usual number. So slow links and lost counting VMs affect few clients, and the excess over the limit stays bounded.
  */
-export class PermitRequests {
-  readonly #options: PermitRequestsOptions
+export class PermitClient {
+  readonly #options: PermitClientOptions
   readonly #pending = new Map<number, PendingRequest>()
   readonly #skippedUntilMs = new Map<string, number>()
   readonly #workspaces = new Map<string, WorkspaceState>()
   readonly #admittedWindow
   #sequence = 0
 
-  constructor (options: PermitRequestsOptions) {
+  constructor (options: PermitClientOptions) {
     this.#options = options
     this.#admittedWindow = createDemandWindow(options.windowMs)
   }
@@ -84,14 +84,14 @@
   }
 
   /** Handles a counting VM's response, which may arrive after its request has timed out. */
-  handleAnswer (vm: string, response: Permitted): void {
+  handleResponse (vm: string, response: Permitted): void {
     this.#skippedUntilMs.delete(vm) // A late response also ends the backoff: the VM runs, only its link is slow.
     const request = this.#pending.get(response.request)
     if (request?.vm === vm) request.finish(response)
   }
 
   /** Ends the requests that are pending at a VM after the link to it was lost, as if they had timed out. */
-  handleLoss (vm: string): void {
+  handleLinkLoss (vm: string): void {
     for (const request of this.#pending.values()) if (request.vm === vm) request.finish(null)
   }
 
@@ -154,7 +154,7 @@
     const { quotas, send, logger, clock } = this.#options
     const request = ++this.#sequence
     const permit = { type: 'permit' as const, request, workspace, isRepeated, isAdmitted }
-    if (vm === quotas.vm) return quotas.answerPermit(permit)
+    if (vm === quotas.vm) return quotas.decidePermit(permit)
     const response = await new Promise<Permitted | null>(resolve => {
       const finish = (response: Permitted | null): void => {
         clearTimeout(timer)
--- a/packages/gateway/src/limits/quota-keeper.ts
+++ b/packages/gateway/src/limits/quota-counter.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@camphorpitch/wire'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
-import { isHeard, type MemberState } from '../fleet/members.ts'
+import { isResponsive, type MemberState } from '../fleet/members.ts'
 import type { GatewaySettings } from '../settings.ts'
-import type { Permit, Permitted } from '../fleet/messages.ts'
+import type { Permit, Permitted } from '../fleet/message-schemas.ts'
 import { MAX_VMS_ALL_COUNTING, type CountingVms } from './counting-vms.ts'
 import { estimateDemand, createDemandShares, createLargeFleetDemand, createFleetDemand, recordVmDemand, sweepDemand, updateLocalDemand } from './demand-shares.ts'
 import { createDemandWindow, recordDemand, sumDemand } from './demand-window.ts'
@@ -10,7 +10,7 @@
 
 const MS_PER_SECOND = 1_000
 
-export interface QuotaKeeperOptions {
+export interface QuotaCounterOptions {
   settings: GatewaySettings
   clock: Clock
   configuration: ConfigurationHolder
@@ -19,13 +19,13 @@
 }
 
 /** Counts operations against this VM's shares of the workspaces' limits. */
-export class QuotaKeeper {
-  readonly #options: QuotaKeeperOptions
+export class QuotaCounter {
+  readonly #options: QuotaCounterOptions
   readonly #state
   readonly #demandWindow
   readonly #demandShares = createDemandShares()
 
-  constructor (options: QuotaKeeperOptions) {
+  constructor (options: QuotaCounterOptions) {
     this.#options = options
     const { quota, isFirstStart } = options.settings
     const windowMs = quota.windowS * MS_PER_SECOND
@@ -39,7 +39,7 @@
   }
 
   /** Whether a workspace has a limit that only a few VMs of a large fleet count, so that a permit must be requested from them. */
-  isCountedByFew (workspace: string): boolean {
+  isCountedByFewVms (workspace: string): boolean {
     return this.#options.counting.isLargeFleet && this.#isLimited(workspace)
   }
 
@@ -58,7 +58,7 @@
    * Responds to a permit request of this or another VM: counts the operation if this VM counts the limit.
    * The demand is not raised for a repeated request, since the VM that received it first has recorded it.
    */
-  answerPermit ({ request, workspace, isRepeated, isAdmitted }: Permit): Permitted {
+  decidePermit ({ request, workspace, isRepeated, isAdmitted }: Permit): Permitted {
     const { counting, clock } = this.#options
     const nowMs = clock.readNow()
     const isCalm = !this.#state.pressed.has(workspace) && hasReserve(this.#state, workspace, nowMs)
@@ -92,7 +92,7 @@
     const { clock, members, configuration, counting } = this.#options
     const nowMs = clock.readNow()
     const all = [...members.members.values()]
-    const hasAllReports = all.every(m => isHeard(m, nowMs))
+    const hasAllReports = all.every(m => isResponsive(m, nowMs))
     const { isFirstStart, startedAtMs, tolerance } = this.#state
     const missingFraction = isFirstStart ? 0 : 1 - (nowMs - startedAtMs) / tolerance.windowMs
     const isKnownToAll = hasAllReports || missingFraction > 0 || counting.isLargeFleet
@@ -102,7 +102,7 @@
   }
 
   /** Lists the limited workspaces with the demand on the fleet and the operations that the rate allows, both per window, and this VM's share as a fraction. */
-  listUse (): Array<{ workspace: string, demand: number, allowed: number, share: number }> {
+  listUsage (): Array<{ workspace: string, demand: number, allowed: number, share: number }> {
     const { configuration, settings } = this.#options
     const fleet = this.#describeFleet(true)
     return (configuration.current?.workspaces ?? []).flatMap(({ name, ratePerSecond }) => ratePerSecond === undefined
@@ -115,7 +115,7 @@
     if (counting.isLargeFleet) return createLargeFleetDemand(this.#demandShares, workspace => counting.isCounting(workspace))
     const knownVms = members.members.size + 1
     // Until this VM has received the list of members, there may be VMs that it does not know.
-    const vmCount = members.isListed || settings.isFirstStart ? knownVms : Math.max(knownVms, MAX_VMS_ALL_COUNTING)
+    const vmCount = members.hasMemberList || settings.isFirstStart ? knownVms : Math.max(knownVms, MAX_VMS_ALL_COUNTING)
     return createFleetDemand(this.#demandShares, vmCount, hasAllReports)
   }
 
--- a/packages/gateway/src/limits/quota-record.ts
+++ b/packages/gateway/src/limits/quota-record.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod'
 import { computeRank, type MemberState } from '../fleet/members.ts'
 import { RevisionConflictError, type MetadataStore } from '../metadata/metadata-store.ts'
-import type { QuotaKeeper } from './quota-keeper.ts'
+import type { QuotaCounter } from './quota-counter.ts'
 
 const OBJECT_NAME = 'pressed'
 const READ_RETRY_DELAY_MS = 300
@@ -23,7 +23,7 @@
   clock: Clock
   logger: Logger
   members: MemberState
-  quotas: QuotaKeeper
+  quotas: QuotaCounter
 }
 
 /**
--- a/packages/gateway/src/limits/quota.test.ts
+++ b/packages/gateway/src/limits/quota.test.ts
@@ -84,7 +84,7 @@
   })
 }
 
-const singleVmDemand: FleetDemand = { vms: 1, hasAllReports: true, isCountedByFew: false, readShare: () => 1, readTotal: () => Infinity }
+const singleVmDemand: FleetDemand = { vms: 1, hasAllReports: true, isCountedByFewVms: false, readShare: () => 1, readTotal: () => Infinity }
 
 function countBusiestWindow (admitted: readonly number[]): number {
   let most = 0
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -41,7 +41,7 @@
   /** Whether every VM has responded recently. */
   hasAllReports: boolean
   /** Whether only a few VMs count each limit; other VMs may take over from them when members change. */
-  isCountedByFew: boolean
+  isCountedByFewVms: boolean
   /** This VM's share of a workspace's limit, as a fraction; 0 if it does not count the limit. */
   readShare: (workspace: string) => number
   /** Operations of a workspace that were requested from all VMs in the last window. */
@@ -125,7 +125,7 @@
 }
 
 /** Computes how many operations this VM's bucket holds beyond its share of the burst. */
-function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFew }: FleetDemand): number {
+function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFewVms: isCountedByFew }: FleetDemand): number {
   const totalHeadroom = SLACK_HEADROOM_FRACTION * slack + OVERSHOOT_HEADROOM_FRACTION * limitPerWindow * overshoot
   return (isCountedByFew ? FEW_VMS_HEADROOM_FRACTION * totalHeadroom : totalHeadroom) / vms
 }
@@ -133,7 +133,7 @@
 /** Computes how many operations a new bucket holds, depending on how much of the limit may have been used before. */
 function computeInitialLevel (state: QuotaState, name: string, levels: { localBurst: number, priorUseUnknown: number, wasBelowLimit: number }, fleet: FleetDemand, nowMs: number): number {
   const isSettled = nowMs - state.startedAtMs >= state.tolerance.windowMs
-  if (fleet.isCountedByFew && isSettled) return state.pressed.has(name) ? levels.priorUseUnknown : levels.wasBelowLimit
+  if (fleet.isCountedByFewVms && isSettled) return state.pressed.has(name) ? levels.priorUseUnknown : levels.wasBelowLimit
   if (isPriorUseUnknown(state, name, nowMs)) return levels.priorUseUnknown
   return state.isFirstStart ? levels.localBurst : levels.wasBelowLimit
 }
--- a/packages/gateway/src/metadata/metadata-store.ts
+++ b/packages/gateway/src/metadata/metadata-store.ts
@@ -35,7 +35,7 @@
 }
 export type ObjectKind = keyof ObjectKinds
 /** Kinds whose objects the VMs write themselves. */
-export type OwnKind = 'vms' | 'duties' | 'quotas'
+export type WritableKind = 'vms' | 'duties' | 'quotas'
 
 /**
  * The platform's store of versioned objects.
@@ -57,13 +57,13 @@
    * @returns the object's new revision
    * @throws RevisionConflictError if the object exists already, or has another revision
    */
-  abstract write (kind: OwnKind, name: string, value: unknown, revision: number | null): Promise<number>
+  abstract write (kind: WritableKind, name: string, value: unknown, revision: number | null): Promise<number>
   /** Reads an object; `undefined` if there is none of that name. */
-  abstract find (kind: OwnKind, name: string): Promise<StoredObject<unknown> | undefined>
+  abstract find (kind: WritableKind, name: string): Promise<StoredObject<unknown> | undefined>
   /**
    * Deletes the object if `revision` is still its revision.
    *
    * @throws RevisionConflictError if it has another revision
    */
-  abstract delete (kind: OwnKind, name: string, revision: number): Promise<void>
+  abstract delete (kind: WritableKind, name: string, revision: number): Promise<void>
 }
--- a/packages/gateway/src/pool/connection-plan.test.ts
+++ b/packages/gateway/src/pool/connection-plan.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai'
 import { EXCESS_IDLE_TIMEOUT_MS, planConnections, type ConnectionSlot, type ConnectionRequest } from './connection-plan.ts'
 
-const connectionLimits = { kept: 2, most: 3 }
+const connectionLimits = { retainedConnections: 2, maxOpenConnections: 3 }
 
 function createSlot (id: number, workspace: string, options: Partial<ConnectionSlot> = {}): ConnectionSlot {
   return { id, workspace, session: null, state: 'idle', lastUsedAtMs: 0, ...options }
@@ -76,7 +76,7 @@
       }
       requests = requests.filter(w => w.deadlineMs > nowMs)
       const ordered = isFair ? requests : requests.slice(0, 1)
-      for (const step of planConnections(slots, ordered, { kept: 4, most: 4 }, true, nowMs)) {
+      for (const step of planConnections(slots, ordered, { retainedConnections: 4, maxOpenConnections: 4 }, true, nowMs)) {
         if (step.type === 'close') slots.splice(slots.indexOf(step.slot), 1)
         else if (step.type === 'open') slots.push(createSlot(++lastId, step.workspace, { lastUsedAtMs: nowMs }))
         else {
--- a/packages/gateway/src/pool/connection-plan.ts
+++ b/packages/gateway/src/pool/connection-plan.ts
@@ -23,9 +23,9 @@
 
 export interface ConnectionLimits {
   /** Idle connections are closed only while more than this many connections are open. */
-  kept: number
+  retainedConnections: number
   /** Maximum number of open connections, including those being opened. */
-  most: number
+  maxOpenConnections: number
 }
 
 export type PlannedStep =
@@ -33,7 +33,7 @@
   | { type: 'open', workspace: string }
   | { type: 'close', slot: ConnectionSlot }
 
-/** Idle time after which a connection is closed while more than `ConnectionLimits.kept` are open, in milliseconds. */
+/** Idle time after which a connection is closed while more than `ConnectionLimits.retainedConnections` are open, in milliseconds. */
 export const EXCESS_IDLE_TIMEOUT_MS = 250
 
 /**
@@ -65,8 +65,8 @@
       continue
     }
     if (!canOpen) continue
-    const evicted = openCount < limits.most ? undefined : pickLeastRecentlyUsed(idleSlots)
-    if (openCount >= limits.most && evicted === undefined) continue
+    const evicted = openCount < limits.maxOpenConnections ? undefined : pickLeastRecentlyUsed(idleSlots)
+    if (openCount >= limits.maxOpenConnections && evicted === undefined) continue
     if (evicted !== undefined) {
       idleSlots.delete(evicted)
       steps.push({ type: 'close', slot: evicted })
@@ -80,7 +80,7 @@
 
 function planExcessCloses (idleSlots: ReadonlySet<ConnectionSlot>, openCount: number, limits: ConnectionLimits, nowMs: number): PlannedStep[] {
   const closable = [...idleSlots].filter(s => nowMs - s.lastUsedAtMs >= EXCESS_IDLE_TIMEOUT_MS).sort((a, b) => a.lastUsedAtMs - b.lastUsedAtMs)
-  return closable.slice(0, Math.max(0, openCount - limits.kept)).map(slot => ({ type: 'close', slot }))
+  return closable.slice(0, Math.max(0, openCount - limits.retainedConnections)).map(slot => ({ type: 'close', slot }))
 }
 
 function countByWorkspace (slots: readonly ConnectionSlot[]): Map<string, number> {
--- a/packages/gateway/src/pool/connection-share.test.ts
+++ b/packages/gateway/src/pool/connection-share.test.ts
@@ -15,8 +15,8 @@
         let totalRetained = 0
         domains.forEach((count, i) => {
           const share = computeConnectionShare({ maxConnections, vms, localVms: domains[0]!, isLocal: i === 0, isPrimary })
-          expect(share.most).to.be.at.least(1)
-          totalRetained += count * share.kept
+          expect(share.maxOpenConnections).to.be.at.least(1)
+          totalRetained += count * share.retainedConnections
         })
         expect(totalRetained).to.be.at.most(maxConnections)
       }
@@ -24,6 +24,6 @@
   }
 
   it('gives a single VM all connections but the reserved ones', () => {
-    expect(computeConnectionShare({ maxConnections: 21, vms: 1, localVms: 1, isLocal: true, isPrimary: true })).to.deep.equal({ kept: 19, most: 19 })
+    expect(computeConnectionShare({ maxConnections: 21, vms: 1, localVms: 1, isLocal: true, isPrimary: true })).to.deep.equal({ retainedConnections: 19, maxOpenConnections: 19 })
   })
 })
--- a/packages/gateway/src/pool/connection-share.ts
+++ b/packages/gateway/src/pool/connection-share.ts
@@ -28,14 +28,14 @@
  * The retained connections of all VMs together stay within the endpoint's limit. A VM exceeds its share only briefly;
  * the endpoint refuses connections above its limit.
  *
- * @example computeConnectionShare({ maxConnections: 21, vms: 8, localVms: 3, isLocal: true, isPrimary: false }) // { kept: 4, most: 10 }
+ * @example computeConnectionShare({ maxConnections: 21, vms: 8, localVms: 3, isLocal: true, isPrimary: false }) // { retainedConnections: 4, maxOpenConnections: 10 }
  */
 export function computeConnectionShare (options: ConnectionShareOptions): ConnectionLimits {
   const { maxConnections, vms, localVms, isLocal, isPrimary } = options
   const sharedConnections = Math.max(1, maxConnections - RESERVED_CONNECTIONS)
   const share = Math.max(1, Math.floor(computeShare(sharedConnections, { vms, localVms, isLocal, isPrimary })))
   const retained = share < MIN_RETAINED_CONNECTIONS ? 0 : share
-  return { kept: retained, most: Math.min(sharedConnections, Math.max(share + 2, Math.floor(share * MAX_OPEN_FACTOR))) }
+  return { retainedConnections: retained, maxOpenConnections: Math.min(sharedConnections, Math.max(share + 2, Math.floor(share * MAX_OPEN_FACTOR))) }
 }
 
 function computeShare (sharedConnections: number, { vms, localVms, isLocal, isPrimary }: Omit<ConnectionShareOptions, 'maxConnections'>): number {
--- a/packages/gateway/src/pool/endpoint-health.ts
+++ b/packages/gateway/src/pool/endpoint-health.ts
@@ -1,14 +1,14 @@
 /** Weight of the latest response time in the moving average. */
 const NEW_RESPONSE_WEIGHT = 0.15
 /** An endpoint is unresponsive once a statement or connection attempt has had no response for this long, in milliseconds. */
-export const SILENT_AFTER_MS = 700
+export const UNRESPONSIVE_AFTER_MS = 700
 /** Time for which other endpoints are preferred after a failure, in milliseconds. */
 const AVOID_AFTER_FAILURE_MS = 1_000
 
 /** How one endpoint has responded to this VM. Times are readings of the caller's clock, in milliseconds. */
 export interface EndpointHealth {
   /** Time of the last response; `-Infinity` before the first. */
-  heardAtMs: number
+  lastResponseAtMs: number
   /** Since when a response has been pending without any contact from the endpoint; `null` when none is pending. */
   unansweredSinceMs: number | null
   /** Statements and connection attempts whose response is pending. */
@@ -22,7 +22,7 @@
 }
 
 export function createHealth (): EndpointHealth {
-  return { heardAtMs: -Infinity, unansweredSinceMs: null, inFlight: 0, averageResponseMs: null, refusedSinceMs: null, avoidUntilMs: -Infinity }
+  return { lastResponseAtMs: -Infinity, unansweredSinceMs: null, inFlight: 0, averageResponseMs: null, refusedSinceMs: null, avoidUntilMs: -Infinity }
 }
 
 /** Records that a statement was sent or a connection attempt began. */
@@ -32,7 +32,7 @@
 }
 
 /** Records the response to a statement that was sent at `sentAtMs`. */
-export function recordAnswered (health: EndpointHealth, sentAtMs: number, nowMs: number): void {
+export function recordResponse (health: EndpointHealth, sentAtMs: number, nowMs: number): void {
   health.inFlight--
   recordContact(health, nowMs)
   const responseMs = nowMs - sentAtMs
@@ -47,13 +47,13 @@
 
 /** Records any message from the endpoint, which shows that it is reachable. */
 export function recordContact (health: EndpointHealth, nowMs: number): void {
-  health.heardAtMs = nowMs
+  health.lastResponseAtMs = nowMs
   health.unansweredSinceMs = health.inFlight > 0 ? nowMs : null
   health.refusedSinceMs = null
 }
 
 /** Records that a statement or connection attempt ended without a response. */
-export function recordUnanswered (health: EndpointHealth, nowMs: number): void {
+export function recordNoResponse (health: EndpointHealth, nowMs: number): void {
   health.inFlight--
   health.avoidUntilMs = nowMs + AVOID_AFTER_FAILURE_MS
 }
@@ -70,15 +70,15 @@
 }
 
 /** Returns how long a response has been pending without contact, in milliseconds; 0 when none is pending. */
-export function measureSilence (health: EndpointHealth, nowMs: number): number {
+export function measureUnansweredMs (health: EndpointHealth, nowMs: number): number {
   return health.unansweredSinceMs === null ? 0 : nowMs - health.unansweredSinceMs
 }
 
-export function isSilent (health: EndpointHealth, nowMs: number): boolean {
-  return measureSilence(health, nowMs) >= SILENT_AFTER_MS
+export function isUnresponsive (health: EndpointHealth, nowMs: number): boolean {
+  return measureUnansweredMs(health, nowMs) >= UNRESPONSIVE_AFTER_MS
 }
 
 /** Whether requests should prefer other endpoints. */
 export function isAvoided (health: EndpointHealth, nowMs: number): boolean {
-  return nowMs < health.avoidUntilMs || isSilent(health, nowMs)
+  return nowMs < health.avoidUntilMs || isUnresponsive(health, nowMs)
 }
--- a/packages/gateway/src/pool/endpoint-pool.ts
+++ b/packages/gateway/src/pool/endpoint-pool.ts
@@ -3,7 +3,7 @@
 import { ConnectionLostError, EndpointRefusedError } from '../backend/errors.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
 import { EXCESS_IDLE_TIMEOUT_MS, planConnections, type ConnectionLimits, type ConnectionSlot, type PlannedStep, type ConnectionRequest } from './connection-plan.ts'
-import { createHealth, recordConnected, recordRefused, recordSent, recordUnanswered, type EndpointHealth } from './endpoint-health.ts'
+import { createHealth, recordConnected, recordRefused, recordSent, recordNoResponse, type EndpointHealth } from './endpoint-health.ts'
 import { PoolError, type PoolRefusal } from './errors.ts'
 import { PooledConnection } from './pooled-connection.ts'
 
@@ -181,7 +181,7 @@
     const reason = describeError(error)
     logger.info('endpoint connection attempt failed', { endpoint: this.entry.endpoint, workspace: slot.workspace, reason, elapsedMs: Math.round(nowMs - sentAtMs) })
     if (error instanceof EndpointRefusedError) return this.#handleConnectionRefused(error.code, nowMs)
-    recordUnanswered(this.health, nowMs)
+    recordNoResponse(this.health, nowMs)
     if (error instanceof ConnectionLostError && error.isRefused) recordRefused(this.health, nowMs)
     this.#nextOpenAllowedAtMs = nowMs + CONNECT_FAILURE_BACKOFF_MS
     this.#schedulePlan(CONNECT_FAILURE_BACKOFF_MS)
--- a/packages/gateway/src/sessions/client-session.test.ts
+++ b/packages/gateway/src/sessions/client-session.test.ts
@@ -1,7 +1,7 @@
 import { createLogger } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import type { AnswerError, ClientStatement } from '../backend/statement.ts'
-import { ClientTransport, type ClientAnswer } from '../clients/client-listener.ts'
+import { ClientTransport, type ClientResponse } from '../clients/client-listener.ts'
 import type { Configuration } from '../configuration/configuration.ts'
 import type { Operation, Outcome } from '../statements/operation.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
@@ -17,11 +17,11 @@
 }
 
 class RecordingTransport extends ClientTransport {
-  readonly answers: ClientAnswer[] = []
+  readonly answers: ClientResponse[] = []
   isClosed = false
   override sendWelcome (): void {}
   override sendRefusal (): void { this.isClosed = true }
-  override sendAnswer (answer: ClientAnswer): void { this.answers.push(answer) }
+  override sendResponse (answer: ClientResponse): void { this.answers.push(answer) }
   override close (): void { this.isClosed = true }
 }
 
--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -1,6 +1,6 @@
 import { pickLaterPosition, type LogPosition } from '@camphorpitch/wire'
 import type { AnswerError, ClientStatement } from '../backend/statement.ts'
-import type { ClientAnswer, ClientEvents, ClientTransport } from '../clients/client-listener.ts'
+import type { ClientResponse, ClientEvents, ClientTransport } from '../clients/client-listener.ts'
 import type { Configuration, Route } from '../configuration/configuration.ts'
 import type { Operation, Outcome } from '../statements/operation.ts'
 import type { PinnedTransaction } from '../statements/pinned-transaction.ts'
@@ -121,7 +121,7 @@
     this.#isStatementRunning = true
     clearTimeout(this.#transactionIdleTimer)
     this.#lastActiveAtMs = this.#host.clock.readNow()
-    const running = 'malformed' in queued ? this.#sendAnswer({ error: { code: 'malformed', text: queued.malformed }, state: this.#sessionState.transaction }) : this.#admitAndRun(queued)
+    const running = 'malformed' in queued ? this.#sendResponse({ error: { code: 'malformed', text: queued.malformed }, state: this.#sessionState.transaction }) : this.#admitAndRun(queued)
     Promise.resolve(running).catch((error: unknown) => {
       this.#host.logger.error('statement processing failed', { session: this.id, error: error instanceof Error ? error.stack : String(error) })
       this.#close()
@@ -147,7 +147,7 @@
   async #admitAndRun (statement: ClientStatement): Promise<void> {
     const refusal = this.#sessionState.transaction === 'idle' ? await this.#admitOperation(statement) : null
     if (this.#isClosed) return
-    if (refusal !== null) return this.#sendAnswer({ error: refusal, state: 'idle' })
+    if (refusal !== null) return this.#sendResponse({ error: refusal, state: 'idle' })
     const plan = decideStatement(this.#sessionState, statement)
     await this.#runPlan(statement, plan)
   }
@@ -170,18 +170,18 @@
   async #runPlan (statement: ClientStatement, plan: StatementPlan): Promise<void> {
     const state = this.#sessionState
     switch (plan.type) {
-      case 'answer': return this.#sendAnswer({ error: plan.error, state: state.transaction })
+      case 'answer': return this.#sendResponse({ error: plan.error, state: state.transaction })
       case 'begin':
         this.#transactionLossReason = null
-        return this.#sendAnswer({ state: 'open' })
+        return this.#sendResponse({ state: 'open' })
       case 'rollback':
         this.#transaction?.rollback()
         this.#transaction = null
         state.transaction = 'idle'
-        return this.#sendAnswer({ state: 'idle' })
+        return this.#sendResponse({ state: 'idle' })
       case 'endFailed':
         state.transaction = 'idle'
-        return this.#sendAnswer({ error: plan.isCommit ? { code: 'aborted', text: 'the transaction had failed' } : null, state: 'idle' })
+        return this.#sendResponse({ error: plan.isCommit ? { code: 'aborted', text: 'the transaction had failed' } : null, state: 'idle' })
       case 'commit': return await this.#commitTransaction(statement)
       case 'run': return state.transaction === 'idle' ? await this.#runSingle(statement, plan) : await this.#runInTransaction(statement, plan)
     }
@@ -243,16 +243,16 @@
     }
   }
 
-  #sendOutcome (operation: Operation, outcome: Outcome, state: ClientAnswer['state'], isCommit: boolean): void {
+  #sendOutcome (operation: Operation, outcome: Outcome, state: ClientResponse['state'], isCommit: boolean): void {
     this.#host.recordOutcome(operation, outcome)
-    if ('refusal' in outcome) return this.#sendAnswer({ error: outcome.refusal, state })
+    if ('refusal' in outcome) return this.#sendResponse({ error: outcome.refusal, state })
     const { rows, signature, error, position } = outcome.answer
     if (isCommit && error === null && position !== null) this.#lastWritePosition = pickLaterPosition(this.#lastWritePosition, position)
-    this.#sendAnswer({ rows, signature, error, state, position })
+    this.#sendResponse({ rows, signature, error, state, position })
   }
 
-  #sendAnswer (answer: ClientAnswer): void {
-    if (!this.#isClosed) this.#transport.sendAnswer(answer)
+  #sendResponse (answer: ClientResponse): void {
+    if (!this.#isClosed) this.#transport.sendResponse(answer)
   }
 
   /** Closes the session. Statements that arrive later are not run, because their client would get no response. */
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -3,11 +3,11 @@
 import type { Configuration } from '../configuration/configuration.ts'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import type { FailoverWatch } from '../failover/failover-watch.ts'
-import type { LeadershipQuestions } from '../failover/verify-leadership.ts'
+import type { LeadershipVerifier } from '../failover/verify-leadership.ts'
 import type { GroupTable } from '../groups/group-table.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
-import type { PermitRequests } from '../limits/permit-requests.ts'
-import type { QuotaKeeper } from '../limits/quota-keeper.ts'
+import type { PermitClient } from '../limits/permit-requests.ts'
+import type { QuotaCounter } from '../limits/quota-counter.ts'
 import type { GatewaySettings } from '../settings.ts'
 import { createRetryRefusal, type Operation, type Outcome } from '../statements/operation.ts'
 import { openTransaction, type OpenedTransaction } from '../statements/pinned-transaction.ts'
@@ -35,9 +35,9 @@
   metrics: GatewayMetrics
   configuration: ConfigurationHolder
   groups: GroupTable
-  quotas: QuotaKeeper
-  permits: PermitRequests
-  questions: LeadershipQuestions
+  quotas: QuotaCounter
+  permits: PermitClient
+  leadershipVerifier: LeadershipVerifier
   failover: FailoverWatch
   removeSession: (session: ClientSession) => void
 }
@@ -56,7 +56,7 @@
     this.#context = this.#createContext()
   }
 
-  waitForConfiguration = async (): Promise<Configuration | null> => await this.#options.configuration.waitFirst(FIRST_CONFIGURATION_TIMEOUT_MS)
+  waitForConfiguration = async (): Promise<Configuration | null> => await this.#options.configuration.waitForFirst(FIRST_CONFIGURATION_TIMEOUT_MS)
 
   readConfiguration = (): Configuration | null => this.#options.configuration.current
 
@@ -64,7 +64,7 @@
 
   admitOperation = async (id: string, workspace: string): Promise<AnswerError | null> => {
     const { quotas, permits, metrics } = this.#options
-    const verdict = quotas.isCountedByFew(workspace) ? await permits.request(workspace) : quotas.admit(workspace)
+    const verdict = quotas.isCountedByFewVms(workspace) ? await permits.request(workspace) : quotas.admit(workspace)
     if (verdict.isAdmitted) return null
     if (verdict.isUncounted === true) return this.#refuseUncounted(id, workspace, verdict.retryAfterMs)
     metrics.quotaRefusals.inc({ workspace })
@@ -116,13 +116,13 @@
   }
 
   #createContext (): StatementContext {
-    const { settings: { failureDomain, regions }, clock, logger, questions, failover } = this.#options
+    const { settings: { failureDomain, regions }, clock, logger, leadershipVerifier, failover } = this.#options
     return {
       clock,
       location: { failureDomain, regions },
       rollbackTimeoutMs: ROLLBACK_TIMEOUT_MS,
-      verifyLeadership: async (group, waitMs) => await questions.verifyLeadership(group, waitMs),
-      refreshPrimary: group => { questions.findPrimary(group).catch((error: unknown) => logger.error('primary lookup failed', { error: String(error) })) },
+      verifyLeadership: async (group, waitMs) => await leadershipVerifier.verifyLeadership(group, waitMs),
+      refreshPrimary: group => { leadershipVerifier.findPrimary(group).catch((error: unknown) => logger.error('primary lookup failed', { error: String(error) })) },
       estimateRecoveryMs: group => failover.estimateRecoveryMs(group),
       logResponse: (operation, pool, atLeast, answer) => {
         const { statement, workspace, route, requiredState } = operation
--- a/packages/gateway/src/statements/read-targets.test.ts
+++ b/packages/gateway/src/statements/read-targets.test.ts
@@ -3,7 +3,7 @@
 import { EndpointConnector, type EndpointConnection } from '../backend/endpoint-connector.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
 import { addSample, recordLeadership } from '../freshness/group-state.ts'
-import { DRAINING_USE_MS, ServiceGroup } from '../groups/service-group.ts'
+import { MAX_DRAINING_USE_MS, ServiceGroup } from '../groups/service-group.ts'
 import { VirtualClock } from '../testing/virtual-clock.ts'
 import type { Operation } from './operation.ts'
 import { findReadTarget } from './read-targets.ts'
@@ -28,7 +28,7 @@
 const location = { failureDomain: 'north', regions: {} }
 
 function createGroup (clock: VirtualClock): ServiceGroup {
-  const group = new ServiceGroup({ service: 's', connector: new NoConnector(), clock, logger: createLogger({ process: 'test', level: 'silent' }), readLimits: () => ({ kept: 1, most: 1 }), recordOpened: () => {} })
+  const group = new ServiceGroup({ service: 's', connector: new NoConnector(), clock, logger: createLogger({ process: 'test', level: 'silent' }), readLimits: () => ({ retainedConnections: 1, maxOpenConnections: 1 }), recordOpened: () => {} })
   group.updateEntry(createEntry('p', { role: 'primary' }))
   group.updateEntry(createEntry('a'))
   group.updateEntry(createEntry('b'))
@@ -56,7 +56,7 @@
     const group = createGroup(clock)
     for (const e of ['p', 'a', 'b']) group.updateEntry(createEntry(e, { isDraining: true, role: e === 'p' ? 'primary' : 'replica' }))
     expect(findTargetName(group, clock)).to.not.equal('none')
-    clock.nowMs = DRAINING_USE_MS
+    clock.nowMs = MAX_DRAINING_USE_MS
     addSample(group.state, { atMs: clock.nowMs, position: { term: 1, index: 9 } })
     expect(findTargetName(group, clock)).to.equal('none')
   })
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -1,6 +1,6 @@
 import { pickLaterPosition, type Clock, type LogPosition } from '@camphorpitch/wire'
 import { findRequiredPosition, isPrimaryFresh } from '../freshness/group-state.ts'
-import { DRAINING_USE_MS, type ServiceGroup } from '../groups/service-group.ts'
+import { MAX_DRAINING_USE_MS, type ServiceGroup } from '../groups/service-group.ts'
 import { isAvoided } from '../pool/endpoint-health.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
 import { selectEndpoint, type ReadCandidate } from '../routing/select-endpoint.ts'
@@ -41,16 +41,16 @@
   return pool === undefined ? 'none' : { pool, atLeast }
 }
 
-/** Lists the endpoints that are not draining, or if all are, those that have been draining for less than `DRAINING_USE_MS`. */
+/** Lists the endpoints that are not draining, or if all are, those that have been draining for less than `MAX_DRAINING_USE_MS`. */
 function listUsablePools (group: ServiceGroup, nowMs: number): EndpointPool[] {
   const pools = [...group.pools.values()]
   const notDraining = pools.filter(p => !p.entry.isDraining)
-  return notDraining.length > 0 ? notDraining : pools.filter(p => p.measureDraining(nowMs) < DRAINING_USE_MS)
+  return notDraining.length > 0 ? notDraining : pools.filter(p => p.measureDraining(nowMs) < MAX_DRAINING_USE_MS)
 }
 
 function findPrimaryTarget (group: ServiceGroup, maxStalenessMs: number, triedEndpoints: ReadonlySet<string>, nowMs: number): ReadTarget | 'unproven' | 'none' {
   const pool = group.primaryPool
-  if (pool === undefined || triedEndpoints.has(pool.entry.endpoint) || pool.measureDraining(nowMs) >= DRAINING_USE_MS) return 'none'
+  if (pool === undefined || triedEndpoints.has(pool.entry.endpoint) || pool.measureDraining(nowMs) >= MAX_DRAINING_USE_MS) return 'none'
   return isPrimaryFresh(group.state, maxStalenessMs, nowMs) ? { pool, atLeast: null } : 'unproven'
 }
 
--- a/packages/gateway/src/telemetry/gateway-status.ts
+++ b/packages/gateway/src/telemetry/gateway-status.ts
@@ -1,11 +1,11 @@
 import { MOST_STATUS_SERVICES, MOST_STATUS_WORKSPACES, type Clock, type EndpointDoubt, type GatewayStatus } from '@camphorpitch/wire'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
-import { listHeard, type MemberState } from '../fleet/members.ts'
+import { listResponsive, type MemberState } from '../fleet/members.ts'
 import { isPrimaryFresh } from '../freshness/group-state.ts'
 import type { GroupTable } from '../groups/group-table.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
-import type { QuotaKeeper } from '../limits/quota-keeper.ts'
-import { isSilent } from '../pool/endpoint-health.ts'
+import type { QuotaCounter } from '../limits/quota-counter.ts'
+import { isUnresponsive } from '../pool/endpoint-health.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
 
 export interface StatusSources {
@@ -13,7 +13,7 @@
   configuration: ConfigurationHolder
   members: MemberState
   groups: GroupTable
-  quotas: QuotaKeeper
+  quotas: QuotaCounter
   isReady: () => boolean
   countSessions: () => number
 }
@@ -25,10 +25,10 @@
     vm: members.self.vm,
     isReady: isReady(),
     configurationVersion: configuration.version,
-    vms: { known: members.members.size, heard: listHeard(members, nowMs).length },
+    vms: { known: members.members.size, heard: listResponsive(members, nowMs).length },
     sessions: countSessions(),
     services: groups.list().slice(0, MOST_STATUS_SERVICES).map(g => describeGroup(g, nowMs)),
-    workspaces: quotas.listUse().sort((a, b) => b.demand / b.allowed - a.demand / a.allowed).slice(0, MOST_STATUS_WORKSPACES)
+    workspaces: quotas.listUsage().sort((a, b) => b.demand / b.allowed - a.demand / a.allowed).slice(0, MOST_STATUS_WORKSPACES)
   }
 }
 
@@ -52,7 +52,7 @@
   const doubts: EndpointDoubt[] = []
   if (entry.isDraining) doubts.push('draining')
   if (nowMs < laggingUntilMs) doubts.push('lagging')
-  if (isSilent(health, nowMs)) doubts.push('silent')
+  if (isUnresponsive(health, nowMs)) doubts.push('silent')
   if (health.refusedSinceMs !== null) doubts.push('refusing')
   else if (nowMs < health.avoidUntilMs) doubts.push('avoided')
   return doubts
--- a/packages/gateway/src/testing/memory-store.ts
+++ b/packages/gateway/src/testing/memory-store.ts
@@ -1,4 +1,4 @@
-import { HistoryGoneError, MetadataError, MetadataStore, RevisionConflictError, type Change, type Changes, type Listing, type ObjectKind, type ObjectKinds, type OwnKind, type StoredObject } from '../metadata/metadata-store.ts'
+import { HistoryGoneError, MetadataError, MetadataStore, RevisionConflictError, type Change, type Changes, type Listing, type ObjectKind, type ObjectKinds, type WritableKind, type StoredObject } from '../metadata/metadata-store.ts'
 
 type StoredValue = StoredObject<unknown>
 
@@ -8,7 +8,7 @@
   /** While set, every call rejects. */
   isDown = false
   /** While set, writes take effect, but reject as if their response had been lost. */
-  losesAnswers = false
+  losesResponses = false
   readonly #objects = new Map<string, StoredValue>()
   #history: Array<{ kind: ObjectKind, change: Change<unknown>, revision: number }> = []
   #oldestWatchableRevision = 0
@@ -59,20 +59,20 @@
     return { changes: listChanges() as Array<Change<ObjectKinds[K]>>, asOf: this.revision }
   }
 
-  override async find (kind: OwnKind, name: string): Promise<StoredObject<unknown> | undefined> {
+  override async find (kind: WritableKind, name: string): Promise<StoredObject<unknown> | undefined> {
     this.#ensureAvailable()
     return this.#objects.get(`${kind}/${name}`)
   }
 
-  override async write (kind: OwnKind, name: string, value: unknown, revision: number | null): Promise<number> {
+  override async write (kind: WritableKind, name: string, value: unknown, revision: number | null): Promise<number> {
     this.#ensureAvailable()
     if ((this.#objects.get(`${kind}/${name}`)?.revision ?? null) !== revision) throw new RevisionConflictError('the object has another revision')
     const written = this.replace(kind, name, value)
-    if (this.losesAnswers) throw new MetadataError('the response to the write was lost')
+    if (this.losesResponses) throw new MetadataError('the response to the write was lost')
     return written
   }
 
-  override async delete (kind: OwnKind, name: string, revision: number): Promise<void> {
+  override async delete (kind: WritableKind, name: string, revision: number): Promise<void> {
     this.#ensureAvailable()
     if (this.#objects.get(`${kind}/${name}`)?.revision !== revision) throw new RevisionConflictError('the object has another revision')
     this.remove(kind, name)
