--- a/packages/proxy/src/pool/decide-pool.test.ts
+++ b/packages/proxy/src/pool/decide-pool.test.ts
@@ -20,12 +20,12 @@
 type Action = typeof actionArbitrary extends fc.Arbitrary<infer T> ? T : never
 
 /** An endpoint and callers around one pool decision; throws where the pool breaks a rule. */
-class Host {
+class SimulatedHost {
   readonly #decide: PoolDecision
   #state = createPoolState(computePoolLimits(4, 2))
   #nowMs = 0
-  #requests = 0
-  #mayCut = false
+  #requestCount = 0
+  #canCloseHeld = false
   readonly opening: number[] = []
   readonly held = new Map<number, { isPinned: boolean }>()
   readonly closing: number[] = []
@@ -50,7 +50,7 @@
       this.opening.push(effect.connection)
     }
     if (effect.type === 'close') {
-      if (this.held.has(effect.connection)) expect(this.#mayCut, 'a held connection is cut').to.equal(true)
+      if (this.held.has(effect.connection)) expect(this.#canCloseHeld, 'a held connection is cut').to.equal(true)
       this.closing.push(effect.connection)
     }
     if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one answer to a request').to.equal(true)
@@ -66,14 +66,14 @@
     this.held.set(connection, { isPinned: isPinned! })
     const pinned = [...this.held.values()].filter(h => h.isPinned).length
     const { limits } = this.#state
-    if (isPinned) expect(pinned).to.be.at.most(limits.pinned)
+    if (isPinned) expect(pinned).to.be.at.most(limits.pinnedConnections)
     else expect(this.held.size - pinned).to.be.at.most(limits.statements)
   }
 
-  act (action: Action): void {
+  runAction (action: Action): void {
     switch (action.kind) {
       case 'acquire': {
-        const id = ++this.#requests
+        const id = ++this.#requestCount
         this.waiting.set(id, action.isPinned)
         this.tell({ type: 'acquire', waiter: { id, workspace: action.workspace, isPinned: action.isPinned, deadlineMs: this.#nowMs + action.waitMs } })
         return
@@ -90,9 +90,9 @@
       }
       case 'limits': return this.tell({ type: 'limits', limits: computePoolLimits(action.connections, 2) })
       case 'unreachable':
-        this.#mayCut = action.isReplaced
+        this.#canCloseHeld = action.isReplaced
         this.tell({ type: 'unreachable', isReplaced: action.isReplaced })
-        this.#mayCut = false
+        this.#canCloseHeld = false
         return
       case 'pass':
         this.#nowMs += action.ms
@@ -124,10 +124,10 @@
   }
 
   /** A host that goes on answering serves everybody who waits, or refuses them. */
-  settle (): void {
+  settleWaiters (): void {
     this.tell({ type: 'limits', limits: computePoolLimits(4, 2) })
     for (let i = 0; i < 2_000 && this.waiting.size > 0; i++) {
-      this.act({ kind: 'pass', ms: 5 })
+      this.runAction({ kind: 'pass', ms: 5 })
       this.#finishClosing(0)
       this.#finishOpening('ok')
       this.#release(0, true)
@@ -136,28 +136,28 @@
   }
 }
 
-function checkPool (decide: PoolDecision): void {
+function checkConnectionRules (decide: PoolDecision): void {
   fc.assert(fc.property(fc.array(actionArbitrary, { maxLength: 120 }), actions => {
-    const host = new Host(decide)
-    for (const a of actions) host.act(a)
-    host.settle()
+    const host = new SimulatedHost(decide)
+    for (const a of actions) host.runAction(a)
+    host.settleWaiters()
   }), { numRuns: 1_000, seed: 11, includeErrorInReport: true })
 }
 
 describe('pool decision', () => {
-  it('keeps every rule of connections over 1,000 interleavings', () => checkPool(decidePool))
+  it('keeps every rule of connections over 1,000 interleavings', () => checkConnectionRules(decidePool))
 
   it('is told from a pool that reuses connections in doubt, and from one that ignores its share', () => {
-    const reusing: PoolDecision = (state, message, nowMs) =>
+    const reusingInDoubt: PoolDecision = (state, message, nowMs) =>
       decidePool(state, message.type === 'released' ? { ...message, isReusable: true } : message, nowMs)
-    expect(() => checkPool(reusing)).to.throw('in doubt')
-    const greedy: PoolDecision = (state, message, nowMs) => {
+    expect(() => checkConnectionRules(reusingInDoubt)).to.throw('in doubt')
+    const exceedingLimit: PoolDecision = (state, message, nowMs) => {
       const { limits } = state
       state.limits = { ...limits, connections: limits.connections + 1 }
       const step = decidePool(state, message, nowMs)
       if (message.type !== 'limits') state.limits = limits
       return step
     }
-    expect(() => checkPool(greedy)).to.throw('connections to the instance')
+    expect(() => checkConnectionRules(exceedingLimit)).to.throw('connections to the instance')
   })
 })
--- a/packages/proxy/src/pool/decide-pool.ts
+++ b/packages/proxy/src/pool/decide-pool.ts
@@ -1,18 +1,18 @@
 import type { Step } from '@camphorpitch/wire'
-import { addItem, countAhead, countWaiting, pickItem, recordCost, removeItems } from './fair-queue.ts'
+import { addItem, countItemsAhead, countWaitingItems, pickItem, recordCost, removeItems } from './fair-queue.ts'
 import type { PoolEffect, PoolMessage } from './messages.ts'
 import type { PooledConnection, PoolLimits, PoolState, Waiter } from './state.ts'
 
 const MAX_WAITING_PER_WORKSPACE = 256
-const SERVICE_WEIGHT = 0.1
-const FIRST_BACKOFF_MS = 20
+const SERVICE_AVERAGE_WEIGHT = 0.1
+const INITIAL_BACKOFF_MS = 20
 const MAX_BACKOFF_MS = 1_000
 const MIN_RETRY_AFTER_MS = 5
 
 /** Time after which a new request of `workspace` would be served. */
 export function estimateWaitMs (state: PoolState, workspace: string): number {
-  const lanes = Math.max(1, Math.min(state.limits.statements, state.limits.connections))
-  return countAhead(state.queue, workspace) * state.serviceMs / lanes
+  const concurrency = Math.max(1, Math.min(state.limits.statements, state.limits.connections))
+  return countItemsAhead(state.queue, workspace) * state.meanServiceMs / concurrency
 }
 
 function refuseWaiter (state: PoolState, waiter: Waiter, reason: string, isOverload: boolean, effects: PoolEffect[]): void {
@@ -25,7 +25,7 @@
     refuseWaiter(state, waiter, 'no connections to this endpoint', false, effects)
     return
   }
-  if (countWaiting(state.queue, waiter.workspace) >= MAX_WAITING_PER_WORKSPACE) {
+  if (countWaitingItems(state.queue, waiter.workspace) >= MAX_WAITING_PER_WORKSPACE) {
     refuseWaiter(state, waiter, 'queue of the workspace is full', true, effects)
     return
   }
@@ -35,25 +35,25 @@
     return
   }
   addItem(state.queue, waiter.workspace, waiter)
-  countWaiter(state, waiter, 1)
+  updateWaiterCounts(state, waiter, 1)
   state.earliestDeadlineMs = Math.min(state.earliestDeadlineMs, waiter.deadlineMs)
 }
 
-function countWaiter (state: PoolState, waiter: Waiter, change: 1 | -1): void {
-  if (waiter.isPinned) state.waiting.transactions += change
-  else state.waiting.statements += change
+function updateWaiterCounts (state: PoolState, waiter: Waiter, increment: 1 | -1): void {
+  if (waiter.isPinned) state.waiterCounts.transactions += increment
+  else state.waiterCounts.statements += increment
 }
 
 /** Takes matching requests out of the queue. */
 function removeWaiters (state: PoolState, matches: (waiter: Waiter) => boolean): Waiter[] {
-  const taken = removeItems(state.queue, matches)
-  for (const waiter of taken) countWaiter(state, waiter, -1)
-  return taken
+  const removedWaiters = removeItems(state.queue, matches)
+  for (const waiter of removedWaiters) updateWaiterCounts(state, waiter, -1)
+  return removedWaiters
 }
 
 function handleOpenFailed (state: PoolState, message: Extract<PoolMessage, { type: 'openFailed' }>, nowMs: number, effects: PoolEffect[]): void {
   state.connections.delete(message.connection)
-  const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** state.failures)
+  const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** state.failures)
   state.failures++
   state.backoffUntilMs = nowMs + backoffMs
   if (message.isLimitReached || countConnections(state) > 0) return
@@ -63,7 +63,7 @@
 function handleReleased (state: PoolState, message: Extract<PoolMessage, { type: 'released' }>, nowMs: number, effects: PoolEffect[]): void {
   const connection = state.connections.get(message.connection)
   if (connection === undefined) return
-  recordService(state, connection, nowMs)
+  recordServiceTime(state, connection, nowMs)
   if (connection.state === 'closing') return
   if (message.isReusable) {
     connection.state = 'idle'
@@ -73,18 +73,18 @@
   closeConnection(connection, effects)
 }
 
-function recordService (state: PoolState, connection: PooledConnection, nowMs: number): void {
+function recordServiceTime (state: PoolState, connection: PooledConnection, nowMs: number): void {
   if (connection.workspace === '') return
   const costMs = nowMs - connection.grantedAtMs
-  if (!connection.isPinned) state.serviceMs += SERVICE_WEIGHT * (costMs - state.serviceMs)
-  recordCost(state.queue, connection.workspace, connection.estimateMs, costMs)
+  if (!connection.isPinned) state.meanServiceMs += SERVICE_AVERAGE_WEIGHT * (costMs - state.meanServiceMs)
+  recordCost(state.queue, connection.workspace, connection.estimatedServiceMs, costMs)
   connection.workspace = ''
 }
 
 function handleClosed (state: PoolState, id: number, nowMs: number): void {
   const connection = state.connections.get(id)
   if (connection === undefined) return
-  recordService(state, connection, nowMs)
+  recordServiceTime(state, connection, nowMs)
   state.connections.delete(id)
 }
 
@@ -98,79 +98,79 @@
 }
 
 /** Closes idle connections above the share; busy ones close when they are released. */
-function closeExcess (state: PoolState, effects: PoolEffect[]): void {
+function closeExcessConnections (state: PoolState, effects: PoolEffect[]): void {
   const idle = [...state.connections.values()].filter(c => c.state === 'idle')
-  let open = [...state.connections.values()].filter(c => c.state !== 'closing').length
+  let openCount = [...state.connections.values()].filter(c => c.state !== 'closing').length
   for (const connection of idle) {
-    if (open <= state.limits.connections) return
+    if (openCount <= state.limits.connections) return
     closeConnection(connection, effects)
-    open--
+    openCount--
   }
 }
 
-function refuseExpired (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
+function refuseExpiredWaiters (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
   if (state.earliestDeadlineMs > nowMs) return
   for (const waiter of removeWaiters(state, w => w.deadlineMs <= nowMs)) refuseWaiter(state, waiter, 'waited past its deadline', true, effects)
   state.earliestDeadlineMs = Infinity
-  for (const flow of state.queue.flows.values()) {
+  for (const flow of state.queue.flowsByWorkspace.values()) {
     for (const w of flow.waiting) state.earliestDeadlineMs = Math.min(state.earliestDeadlineMs, w.deadlineMs)
   }
 }
 
-interface Usage { busy: number, pinned: number, opening: number }
+interface ConnectionUsage { busyUnpinned: number, busyPinned: number, opening: number }
 
-function countUsage (state: PoolState): Usage {
-  const usage: Usage = { busy: 0, pinned: 0, opening: 0 }
+function countUsage (state: PoolState): ConnectionUsage {
+  const usage: ConnectionUsage = { busyUnpinned: 0, busyPinned: 0, opening: 0 }
   for (const c of state.connections.values()) {
     if (c.state === 'opening') usage.opening++
     if (c.state !== 'busy') continue
-    if (c.isPinned) usage.pinned++
-    else usage.busy++
+    if (c.isPinned) usage.busyPinned++
+    else usage.busyUnpinned++
   }
   return usage
 }
 
-function grantIdle (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
+function grantIdleConnections (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
   const usage = countUsage(state)
   const { limits } = state
   for (const connection of state.connections.values()) {
     if (connection.state !== 'idle') continue
-    const waiter = pickItem(state.queue, w => w.isPinned ? usage.pinned < limits.pinned : usage.busy < limits.statements, state.serviceMs)
+    const waiter = pickItem(state.queue, w => w.isPinned ? usage.busyPinned < limits.pinnedConnections : usage.busyUnpinned < limits.statements, state.meanServiceMs)
     if (waiter === undefined) return
-    countWaiter(state, waiter, -1)
+    updateWaiterCounts(state, waiter, -1)
     connection.state = 'busy'
     connection.isPinned = waiter.isPinned
     connection.workspace = waiter.workspace
     connection.grantedAtMs = nowMs
-    connection.estimateMs = state.serviceMs
-    if (waiter.isPinned) usage.pinned++
-    else usage.busy++
+    connection.estimatedServiceMs = state.meanServiceMs
+    if (waiter.isPinned) usage.busyPinned++
+    else usage.busyUnpinned++
     effects.push({ type: 'grant', waiter: waiter.id, connection: connection.id })
   }
 }
 
 /** Opens connections for the waiters that could be served now. */
-function openMissing (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
+function openNeededConnections (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
   if (nowMs < state.backoffUntilMs) return
-  const { busy, pinned, opening } = countUsage(state)
+  const { busyUnpinned, busyPinned, opening } = countUsage(state)
   const { limits } = state
-  const { statements, transactions } = state.waiting
-  const useful = Math.min(statements, limits.statements - busy) + Math.min(transactions, limits.pinned - pinned) - opening
-  const room = limits.connections - countConnections(state)
-  for (let i = 0; i < Math.min(useful, room); i++) {
-    const id = state.nextId++
-    state.connections.set(id, { id, state: 'opening', isPinned: false, workspace: '', grantedAtMs: nowMs, estimateMs: 0 })
+  const { statements, transactions } = state.waiterCounts
+  const neededCount = Math.min(statements, limits.statements - busyUnpinned) + Math.min(transactions, limits.pinnedConnections - busyPinned) - opening
+  const availableCount = limits.connections - countConnections(state)
+  for (let i = 0; i < Math.min(neededCount, availableCount); i++) {
+    const id = state.nextConnectionId++
+    state.connections.set(id, { id, state: 'opening', isPinned: false, workspace: '', grantedAtMs: nowMs, estimatedServiceMs: 0 })
     effects.push({ type: 'open', connection: id })
   }
 }
 
 /** Asks to be woken at the next deadline, or when the back-off ends. */
 function scheduleWake (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
-  if (state.waiting.statements + state.waiting.transactions === 0) return
+  if (state.waiterCounts.statements + state.waiterCounts.transactions === 0) return
   const isBackingOff = state.backoffUntilMs > nowMs
   const atMs = isBackingOff ? Math.min(state.earliestDeadlineMs, state.backoffUntilMs) : state.earliestDeadlineMs
-  if (atMs >= state.wakeAtMs) return
-  state.wakeAtMs = atMs
+  if (atMs >= state.scheduledWakeAtMs) return
+  state.scheduledWakeAtMs = atMs
   effects.push({ type: 'wake', atMs })
 }
 
@@ -210,7 +210,7 @@
     case 'limits': return applyLimits(state, message.limits, effects)
     case 'unreachable': return handleUnreachable(state, message.isReplaced, effects)
     case 'wake':
-      state.wakeAtMs = Infinity
+      state.scheduledWakeAtMs = Infinity
   }
 }
 
@@ -218,10 +218,10 @@
 export function decidePool (state: PoolState, message: PoolMessage, nowMs: number): Step<PoolState, PoolEffect> {
   const effects: PoolEffect[] = []
   applyMessage(state, message, nowMs, effects)
-  refuseExpired(state, nowMs, effects)
-  grantIdle(state, nowMs, effects)
-  openMissing(state, nowMs, effects)
-  closeExcess(state, effects)
+  refuseExpiredWaiters(state, nowMs, effects)
+  grantIdleConnections(state, nowMs, effects)
+  openNeededConnections(state, nowMs, effects)
+  closeExcessConnections(state, effects)
   scheduleWake(state, nowMs, effects)
   return { state, effects }
 }
--- a/packages/proxy/src/pool/endpoint-connection.ts
+++ b/packages/proxy/src/pool/endpoint-connection.ts
@@ -37,7 +37,7 @@
 }
 
 /** `FieldPacket` as the text protocol delivers it. */
-interface ColumnSource {
+interface TextProtocolColumn {
   name: string
   orgName: string
   table: string
@@ -52,19 +52,19 @@
 }
 
 function convertColumn (field: FieldPacket): Column {
-  const source = field as unknown as ColumnSource
+  const column = field as unknown as TextProtocolColumn
   return {
-    name: source.name,
-    orgName: source.orgName,
-    table: source.table,
-    orgTable: source.orgTable,
-    schema: source.schema,
-    catalog: source.catalog,
-    characterSet: source.characterSet,
-    columnLength: source.columnLength,
-    columnType: source.columnType,
-    flags: source.flags,
-    decimals: source.decimals
+    name: column.name,
+    orgName: column.orgName,
+    table: column.table,
+    orgTable: column.orgTable,
+    schema: column.schema,
+    catalog: column.catalog,
+    characterSet: column.characterSet,
+    columnLength: column.columnLength,
+    columnType: column.columnType,
+    flags: column.flags,
+    decimals: column.decimals
   }
 }
 
@@ -92,7 +92,7 @@
   return { kind: 'failed', errno: error.errno ?? 0, sqlState: error.sqlState ?? 'HY000', message: error.message }
 }
 
-function openSocket ({ endpoint, database }: EndpointConnectionOptions): Promise<Connection> {
+function connectToEndpoint ({ endpoint, database }: EndpointConnectionOptions): Promise<Connection> {
   const connection = mysql.createConnection({
     host: endpoint.host,
     port: endpoint.port,
@@ -129,7 +129,7 @@
  * for await (const part of connection.runStatement('SELECT 1', 1_000)) console.log(part.kind)
  */
 export async function openEndpointConnection (options: EndpointConnectionOptions): Promise<EndpointConnection> {
-  return new MysqlConnection(await openSocket(options), options)
+  return new MysqlConnection(await connectToEndpoint(options), options)
 }
 
 class MysqlConnection implements EndpointConnection {
@@ -138,18 +138,18 @@
   readonly #stream: Socket
   #isOpen = true
   #isRunning = false
-  #inTransaction = false
-  #queue: PartQueue | null = null
+  #isInTransaction = false
+  #partQueue: PartQueue | null = null
 
   constructor (connection: Connection, { endpoint, handleClosed }: EndpointConnectionOptions) {
     this.endpoint = endpoint.endpoint
     this.#connection = connection
     this.#stream = (connection as unknown as { stream: Socket }).stream
-    connection.on('error', error => this.#handleLoss(error))
-    connection.on('end', () => this.#handleLoss())
-    connection.on('warn' as 'error', warning => this.#handleDisorder(warning))
+    connection.on('error', error => this.#handleConnectionLost(error))
+    connection.on('end', () => this.#handleConnectionLost())
+    connection.on('warn' as 'error', warning => this.#handleOutOfOrderPacket(warning))
     this.#stream.once('close', () => {
-      this.#handleLoss()
+      this.#handleConnectionLost()
       handleClosed?.()
     })
   }
@@ -159,7 +159,7 @@
   }
 
   isInTransaction (): boolean {
-    return this.#inTransaction
+    return this.#isInTransaction
   }
 
   close (): void {
@@ -181,18 +181,18 @@
       queue.setFailure(new StatementTimeoutError(`no whole answer from ${this.endpoint} in ${Math.ceil(timeoutMs)} ms`))
       this.#destroy()
     }, timeoutMs)
-    let isWhole = false
+    let isComplete = false
     try {
-      while (!isWhole) {
-        const part = await queue.waitPart()
-        isWhole = isLastPart(part)
-        if (isWhole) this.#isRunning = false
+      while (!isComplete) {
+        const part = await queue.waitForPart()
+        isComplete = isLastPart(part)
+        if (isComplete) this.#isRunning = false
         yield part
       }
     } finally {
       clearTimeout(timer)
-      this.#queue = null
-      if (!isWhole) this.#destroy()
+      this.#partQueue = null
+      if (!isComplete) this.#destroy()
       this.#isRunning = false
     }
   }
@@ -201,42 +201,42 @@
   #startQuery (text: string): PartQueue {
     const connection = this.#connection
     const queue = createPartQueue({ pause: () => connection.pause(), resume: () => connection.resume() })
-    this.#queue = queue
+    this.#partQueue = queue
     const query = connection.query({ sql: text, rowsAsArray: true, typeCast: false })
-    let results = 0
+    let resultCount = 0
     let isResultSet = false
-    let header: ResultHeader | null = null
+    let firstHeader: ResultHeader | null = null
     query.on('fields', (fields: FieldPacket[] | undefined) => {
-      results++
+      resultCount++
       isResultSet = fields !== undefined
-      if (results === 1 && fields !== undefined) queue.addPart({ kind: 'columns', columns: fields.map(convertColumn) })
+      if (resultCount === 1 && fields !== undefined) queue.addPart({ kind: 'columns', columns: fields.map(convertColumn) })
     })
     query.on('result', (row: unknown) => {
       if (isResultSet) {
-        if (results === 1) queue.addRow(row as Cell[])
+        if (resultCount === 1) queue.addRow(row as Cell[])
         return
       }
       if (row === null) return
-      const last = convertHeader(row as HeaderPacket)
-      this.#inTransaction = (last.serverStatus & SERVER_STATUS_IN_TRANS) !== 0
-      if (results === 1) header = last
+      const lastHeader = convertHeader(row as HeaderPacket)
+      this.#isInTransaction = (lastHeader.serverStatus & SERVER_STATUS_IN_TRANS) !== 0
+      if (resultCount === 1) firstHeader = lastHeader
     })
     query.on('error', (error: QueryError) => {
       if (isEndpointError(error)) queue.addPart(convertError(error))
-      else this.#handleLoss(error)
+      else this.#handleConnectionLost(error)
     })
-    query.on('end', () => queue.addPart(header === null ? { kind: 'end' } : { kind: 'header', header }))
+    query.on('end', () => queue.addPart(firstHeader === null ? { kind: 'end' } : { kind: 'header', header: firstHeader }))
     return queue
   }
 
-  #handleLoss (cause?: unknown): void {
+  #handleConnectionLost (cause?: unknown): void {
     this.#isOpen = false
-    this.#queue?.setFailure(new ConnectionLostError(`connection to ${this.endpoint} lost`, { cause }))
+    this.#partQueue?.setFailure(new ConnectionLostError(`connection to ${this.endpoint} lost`, { cause }))
   }
 
   /** Packets out of order may belong to another statement. */
-  #handleDisorder (cause: unknown): void {
-    this.#handleLoss(cause)
+  #handleOutOfOrderPacket (cause: unknown): void {
+    this.#handleConnectionLost(cause)
     this.#stream.destroy()
   }
 
--- a/packages/proxy/src/pool/endpoint-pools.ts
+++ b/packages/proxy/src/pool/endpoint-pools.ts
@@ -25,7 +25,7 @@
 
 let poolCount = 0
 
-function describeLoss (group: GroupView, endpoint: string): 'unreachable' | 'replaced' {
+function classifyUnreachable (group: GroupView, endpoint: string): 'unreachable' | 'replaced' {
   const primary = group.findPrimary()
   return primary !== undefined && primary.endpoint.endpoint !== endpoint ? 'replaced' : 'unreachable'
 }
@@ -51,8 +51,8 @@
     return endpoint === undefined ? undefined : this.#addPool(endpoint).pool
   }
 
-  countOutstanding (name: string): number {
-    return this.#entries.get(name)?.pool.countOutstanding() ?? 0
+  countOutstandingRequests (name: string): number {
+    return this.#entries.get(name)?.pool.countOutstandingRequests() ?? 0
   }
 
   /** Ends the pools of instances that have left the group or moved, and frees requests from unreachable ones. */
@@ -67,8 +67,8 @@
   }
 
   /** Follows this VM's share of the instances' connections. */
-  updateShares (): void {
-    for (const entry of this.#entries.values()) this.#updateShare(entry)
+  updateConnectionShares (): void {
+    for (const entry of this.#entries.values()) this.#updateConnectionShare(entry)
   }
 
   stop (): void {
@@ -76,14 +76,14 @@
     this.#entries.clear()
   }
 
-  #computeShare (endpoint: Endpoint): number {
+  #computeConnectionShare (endpoint: Endpoint): number {
     const { placement, database } = this.#options
     return placement.computeConnectionShare(database.database, endpoint.maxConnections)
   }
 
   #addPool (endpoint: Endpoint): PoolEntry {
     const { system, database, clock, logger } = this.#options
-    const share = this.#computeShare(endpoint)
+    const share = this.#computeConnectionShare(endpoint)
     const limits = computePoolLimits(share, endpoint.slots)
     const name = `pool-${database.database}-${endpoint.endpoint}-${++poolCount}`
     const pool = new InstancePool({ system, database, endpoint, limits, clock, logger, name })
@@ -92,8 +92,8 @@
     return entry
   }
 
-  #updateShare (entry: PoolEntry): void {
-    const share = this.#computeShare(entry.endpoint)
+  #updateConnectionShare (entry: PoolEntry): void {
+    const share = this.#computeConnectionShare(entry.endpoint)
     if (share === entry.share) return
     const { database, logger } = this.#options
     logger.info('connection share changed', { database: database.database, endpoint: entry.endpoint.endpoint, from: entry.share, to: share })
@@ -111,10 +111,10 @@
   #updateReachability (entry: PoolEntry, isReachable: boolean): void {
     const { database, logger, group } = this.#options
     const { endpoint } = entry.endpoint
-    const next = isReachable ? 'reachable' : describeLoss(group, endpoint)
-    if (next === entry.reachability) return
-    entry.reachability = next
-    logger.info('endpoint reachability changed', { database: database.database, endpoint, reachability: next })
-    if (next !== 'reachable') entry.pool.handleUnreachable(next === 'replaced')
+    const reachability = isReachable ? 'reachable' : classifyUnreachable(group, endpoint)
+    if (reachability === entry.reachability) return
+    entry.reachability = reachability
+    logger.info('endpoint reachability changed', { database: database.database, endpoint, reachability })
+    if (reachability !== 'reachable') entry.pool.handleUnreachable(reachability === 'replaced')
   }
 }
--- a/packages/proxy/src/pool/fair-queue.ts
+++ b/packages/proxy/src/pool/fair-queue.ts
@@ -8,14 +8,14 @@
  */
 export interface FairQueueState<Item> {
   virtualTimeMs: number
-  flows: Map<string, Flow<Item>>
+  flowsByWorkspace: Map<string, Flow<Item>>
 }
 
 /** Most service that a workspace can be ahead of the others, so that one slow statement does not shut it out. */
-const MAX_LEAD_MS = 1_000
+const MAX_SERVICE_LEAD_MS = 1_000
 
 interface Flow<Item> {
-  tagMs: number
+  startTagMs: number
   /** Items handed out whose true cost is not yet known. */
   running: number
   waiting: Item[]
@@ -23,17 +23,17 @@
 
 /** @example const queue = createFairQueue<string>() */
 export function createFairQueue<Item> (): FairQueueState<Item> {
-  return { virtualTimeMs: 0, flows: new Map() }
+  return { virtualTimeMs: 0, flowsByWorkspace: new Map() }
 }
 
 /** @example addItem(queue, 'nordlys', 'statement') */
 export function addItem<Item> (queue: FairQueueState<Item>, workspace: string, item: Item): void {
-  const flow = queue.flows.get(workspace)
+  const flow = queue.flowsByWorkspace.get(workspace)
   if (flow === undefined) {
-    queue.flows.set(workspace, { tagMs: queue.virtualTimeMs, running: 0, waiting: [item] })
+    queue.flowsByWorkspace.set(workspace, { startTagMs: queue.virtualTimeMs, running: 0, waiting: [item] })
     return
   }
-  if (flow.waiting.length === 0 && flow.running === 0) flow.tagMs = Math.max(flow.tagMs, queue.virtualTimeMs)
+  if (flow.waiting.length === 0 && flow.running === 0) flow.startTagMs = Math.max(flow.startTagMs, queue.virtualTimeMs)
   flow.waiting.push(item)
 }
 
@@ -44,24 +44,24 @@
  */
 export function pickItem<Item> (queue: FairQueueState<Item>, canServe: (item: Item) => boolean, estimateMs: number): Item | undefined {
   let best: { flow: Flow<Item>, index: number } | undefined
-  for (const flow of queue.flows.values()) {
-    if (best !== undefined && best.flow.tagMs <= flow.tagMs) continue
+  for (const flow of queue.flowsByWorkspace.values()) {
+    if (best !== undefined && best.flow.startTagMs <= flow.startTagMs) continue
     const index = flow.waiting.findIndex(canServe)
     if (index >= 0) best = { flow, index }
   }
   if (best === undefined) return undefined
   const { flow, index } = best
-  queue.virtualTimeMs = Math.max(queue.virtualTimeMs, flow.tagMs)
-  flow.tagMs += estimateMs
+  queue.virtualTimeMs = Math.max(queue.virtualTimeMs, flow.startTagMs)
+  flow.startTagMs += estimateMs
   flow.running++
   return flow.waiting.splice(index, 1)[0]
 }
 
 /** Replaces the estimate charged for an item by what it cost; a long hold is charged up to `MAX_LEAD_MS`. */
 export function recordCost<Item> (queue: FairQueueState<Item>, workspace: string, estimateMs: number, costMs: number): void {
-  const flow = queue.flows.get(workspace)
+  const flow = queue.flowsByWorkspace.get(workspace)
   if (flow === undefined) return
-  flow.tagMs = Math.min(flow.tagMs + costMs - estimateMs, queue.virtualTimeMs + MAX_LEAD_MS)
+  flow.startTagMs = Math.min(flow.startTagMs + costMs - estimateMs, queue.virtualTimeMs + MAX_SERVICE_LEAD_MS)
   flow.running--
   removeIdleFlow(queue, workspace, flow)
 }
@@ -69,7 +69,7 @@
 /** Removes and returns the items that match. */
 export function removeItems<Item> (queue: FairQueueState<Item>, matches: (item: Item) => boolean): Item[] {
   const removed: Item[] = []
-  for (const [workspace, flow] of queue.flows) {
+  for (const [workspace, flow] of queue.flowsByWorkspace) {
     const kept = flow.waiting.filter(i => !matches(i))
     if (kept.length === flow.waiting.length) continue
     removed.push(...flow.waiting.filter(matches))
@@ -81,18 +81,18 @@
 
 /** A flow behind virtual time would be raised to it on its next item, so it need not be kept. */
 function removeIdleFlow<Item> (queue: FairQueueState<Item>, workspace: string, flow: Flow<Item>): void {
-  if (flow.waiting.length === 0 && flow.running === 0 && flow.tagMs <= queue.virtualTimeMs) queue.flows.delete(workspace)
+  if (flow.waiting.length === 0 && flow.running === 0 && flow.startTagMs <= queue.virtualTimeMs) queue.flowsByWorkspace.delete(workspace)
 }
 
 /** @example countWaiting(queue, 'nordlys') // 3 */
-export function countWaiting<Item> (queue: FairQueueState<Item>, workspace: string): number {
-  return queue.flows.get(workspace)?.waiting.length ?? 0
+export function countWaitingItems<Item> (queue: FairQueueState<Item>, workspace: string): number {
+  return queue.flowsByWorkspace.get(workspace)?.waiting.length ?? 0
 }
 
 /** Items that are served before a new one of `workspace`, when all workspaces take turns. */
-export function countAhead<Item> (queue: FairQueueState<Item>, workspace: string): number {
-  const own = countWaiting(queue, workspace)
+export function countItemsAhead<Item> (queue: FairQueueState<Item>, workspace: string): number {
+  const waitingCount = countWaitingItems(queue, workspace)
   let ahead = 0
-  for (const [name, flow] of queue.flows) ahead += name === workspace ? own : Math.min(flow.waiting.length, own + 1)
+  for (const [name, flow] of queue.flowsByWorkspace) ahead += name === workspace ? waitingCount : Math.min(flow.waiting.length, waitingCount + 1)
   return ahead
 }
--- a/packages/proxy/src/pool/instance-pool.ts
+++ b/packages/proxy/src/pool/instance-pool.ts
@@ -43,14 +43,14 @@
  */
 export class InstancePool {
   readonly #options: InstancePoolOptions
-  readonly #waiters = new Map<number, (acquisition: Acquisition) => void>()
+  readonly #waiterResolvers = new Map<number, (acquisition: Acquisition) => void>()
   readonly #connections = new Map<number, EndpointConnection>()
   readonly #slice: SliceActor<PoolState, PoolMessage>
-  #lastWaiter = 0
-  #leases = 0
+  #lastWaiterId = 0
+  #grantedCount = 0
   #isStopped = false
-  #isEnding = false
-  #timer: NodeJS.Timeout | undefined
+  #isStoppingWhenIdle = false
+  #wakeTimer: NodeJS.Timeout | undefined
 
   constructor (options: InstancePoolOptions) {
     const { system, name, clock, logger } = options
@@ -68,18 +68,18 @@
 
   /** Asks for a connection; `cancel` withdraws the request unless it has been answered. */
   acquire (request: AcquireRequest): { acquisition: Promise<Acquisition>, cancel: () => void } {
-    if (this.#isStopped || this.#isEnding) return { acquisition: Promise.resolve(stoppedAcquisition), cancel: () => {} }
-    const id = ++this.#lastWaiter
+    if (this.#isStopped || this.#isStoppingWhenIdle) return { acquisition: Promise.resolve(stoppedAcquisition), cancel: () => {} }
+    const id = ++this.#lastWaiterId
     const acquisition = new Promise<Acquisition>(resolve => {
-      this.#waiters.set(id, resolve)
+      this.#waiterResolvers.set(id, resolve)
       this.#slice.tell({ type: 'acquire', waiter: { id, ...request } })
     })
-    return { acquisition, cancel: () => this.#cancel(id) }
+    return { acquisition, cancel: () => this.#cancelWaiter(id) }
   }
 
-  #cancel (waiter: number): void {
-    if (!this.#settle(waiter, { granted: false, reason: 'cancelled', retryAfterMs: 0, isOverload: true })) return
-    this.#slice.tell({ type: 'cancel', waiter })
+  #cancelWaiter (waiterId: number): void {
+    if (!this.#settleWaiter(waiterId, { granted: false, reason: 'cancelled', retryAfterMs: 0, isOverload: true })) return
+    this.#slice.tell({ type: 'cancel', waiter: waiterId })
   }
 
   setLimits (limits: PoolLimits): void {
@@ -92,8 +92,8 @@
   }
 
   /** Requests granted or waiting. */
-  countOutstanding (): number {
-    return this.#waiters.size + this.#leases
+  countOutstandingRequests (): number {
+    return this.#waiterResolvers.size + this.#grantedCount
   }
 
   /** Connections held, those that are opening or closing included. */
@@ -103,88 +103,88 @@
 
   /** Stops once everything granted has been released; for an endpoint that has left. */
   stopWhenIdle (): void {
-    this.#isEnding = true
-    this.setLimits({ connections: 0, statements: 0, pinned: 0 })
-    if (this.#leases === 0) this.stop()
+    this.#isStoppingWhenIdle = true
+    this.setLimits({ connections: 0, statements: 0, pinnedConnections: 0 })
+    if (this.#grantedCount === 0) this.stop()
   }
 
   stop (): void {
     this.#isStopped = true
-    clearTimeout(this.#timer)
+    clearTimeout(this.#wakeTimer)
     for (const connection of this.#connections.values()) connection.close()
-    for (const waiter of [...this.#waiters.keys()]) this.#settle(waiter, stoppedAcquisition)
+    for (const waiter of [...this.#waiterResolvers.keys()]) this.#settleWaiter(waiter, stoppedAcquisition)
     this.#slice.stop()
   }
 
   #runEffect (effect: PoolEffect): void {
     switch (effect.type) {
       case 'open':
-        this.#open(effect.connection)
+        this.#openConnection(effect.connection)
         return
       case 'close':
         this.#connections.get(effect.connection)?.close()
         return
-      case 'grant': return this.#grant(effect.waiter, effect.connection)
+      case 'grant': return this.#grantConnection(effect.waiter, effect.connection)
       case 'refuse':
-        this.#settle(effect.waiter, { granted: false, reason: effect.reason, retryAfterMs: effect.retryAfterMs, isOverload: effect.isOverload })
+        this.#settleWaiter(effect.waiter, { granted: false, reason: effect.reason, retryAfterMs: effect.retryAfterMs, isOverload: effect.isOverload })
         return
       case 'wake': this.#scheduleWake(effect.atMs)
     }
   }
 
-  async #open (id: number): Promise<void> {
+  async #openConnection (connectionId: number): Promise<void> {
     const { database, endpoint, logger } = this.#options
     try {
-      const connection = await openEndpointConnection({ endpoint, database, handleClosed: () => this.#handleClosed(id) })
+      const connection = await openEndpointConnection({ endpoint, database, handleClosed: () => this.#handleClosed(connectionId) })
       if (this.#isStopped) {
         connection.close()
         return
       }
-      this.#connections.set(id, connection)
-      this.#slice.tell({ type: 'opened', connection: id })
+      this.#connections.set(connectionId, connection)
+      this.#slice.tell({ type: 'opened', connection: connectionId })
     } catch (error) {
       const reason = describeError(error)
       const errno = readErrno(error)
       logger.warn('connection refused', { database: database.database, endpoint: endpoint.endpoint, reason, errno })
-      this.#slice.tell({ type: 'openFailed', connection: id, reason, isLimitReached: errno === TOO_MANY_CONNECTIONS_ERRNO })
+      this.#slice.tell({ type: 'openFailed', connection: connectionId, reason, isLimitReached: errno === TOO_MANY_CONNECTIONS_ERRNO })
     }
   }
 
-  #handleClosed (id: number): void {
-    this.#connections.delete(id)
-    this.#slice.tell({ type: 'closed', connection: id })
+  #handleClosed (connectionId: number): void {
+    this.#connections.delete(connectionId)
+    this.#slice.tell({ type: 'closed', connection: connectionId })
   }
 
-  #grant (waiter: number, id: number): void {
-    const connection = this.#connections.get(id)
+  #grantConnection (waiterId: number, connectionId: number): void {
+    const connection = this.#connections.get(connectionId)
     if (connection === undefined) {
-      this.#settle(waiter, { granted: false, reason: 'connection closed before use', retryAfterMs: 0, isOverload: false })
+      this.#settleWaiter(waiterId, { granted: false, reason: 'connection closed before use', retryAfterMs: 0, isOverload: false })
       return
     }
-    this.#leases++
+    this.#grantedCount++
     let isReleased = false
     const release = (isReusable: boolean): void => {
       if (isReleased) return
       isReleased = true
-      this.#leases--
-      this.#slice.tell({ type: 'released', connection: id, isReusable })
-      if (this.#isEnding && this.#leases === 0) this.stop()
+      this.#grantedCount--
+      this.#slice.tell({ type: 'released', connection: connectionId, isReusable })
+      if (this.#isStoppingWhenIdle && this.#grantedCount === 0) this.stop()
     }
-    if (!this.#settle(waiter, { granted: true, connection, release })) release(true)
+    if (!this.#settleWaiter(waiterId, { granted: true, connection, release })) release(true)
   }
 
-  #settle (waiter: number, acquisition: Acquisition): boolean {
-    const resolve = this.#waiters.get(waiter)
+  #settleWaiter (waiterId: number, acquisition: Acquisition): boolean {
+    const resolve = this.#waiterResolvers.get(waiterId)
     if (resolve === undefined) return false
-    this.#waiters.delete(waiter)
+    this.#waiterResolvers.delete(waiterId)
     resolve(acquisition)
     return true
   }
 
   #scheduleWake (atMs: number): void {
-    clearTimeout(this.#timer)
-    const waitMs = Math.max(1, atMs - this.#options.clock.readNow())
-    this.#timer = setTimeout(() => this.#slice.tell({ type: 'wake' }), waitMs)
-    this.#timer.unref()
+    clearTimeout(this.#wakeTimer)
+    const delayMs = Math.max(1, atMs - this.#options.clock.readNow())
+    this.#wakeTimer = setTimeout(() => this.#slice.tell({ type: 'wake' }), delayMs)
+    this.#wakeTimer.unref()
   }
 }
--- a/packages/proxy/src/pool/part-queue.ts
+++ b/packages/proxy/src/pool/part-queue.ts
@@ -22,11 +22,11 @@
 }
 
 /** Rows are handed on when this many bytes have gathered. */
-const ROWS_BYTES = 65_536
+const MAX_BATCH_BYTES = 65_536
 /** Rows are handed on when this many have gathered. */
-const ROWS_COUNT = 256
+const MAX_BATCH_ROWS = 256
 /** The endpoint is held back while this many parts wait for the consumer. */
-const WAITING_PARTS = 4
+const MAX_PENDING_PARTS = 4
 
 /** Flow control towards the endpoint's socket. */
 export interface FlowControl {
@@ -43,35 +43,35 @@
  * queue.addPart({ kind: 'end' })
  * await queue.waitPart() // { kind: 'rows', rows: [[<31>]] }
  */
-export function createPartQueue (flow: FlowControl) {
-  const parts: ResultPart[] = []
-  let rows: Cell[][] = []
-  let bytes = 0
+export function createPartQueue (flowControl: FlowControl) {
+  const pendingParts: ResultPart[] = []
+  let pendingRows: Cell[][] = []
+  let pendingBytes = 0
   let failure: Error | null = null
-  let wake: (() => void) | null = null
+  let wakeConsumer: (() => void) | null = null
   let isPaused = false
 
   function publishPart (part: ResultPart): void {
-    parts.push(part)
-    if (parts.length >= WAITING_PARTS && !isPaused) {
+    pendingParts.push(part)
+    if (pendingParts.length >= MAX_PENDING_PARTS && !isPaused) {
       isPaused = true
-      flow.pause()
+      flowControl.pause()
     }
-    wake?.()
+    wakeConsumer?.()
   }
 
   function publishRows (): void {
-    if (rows.length === 0) return
-    const gathered = rows
-    rows = []
-    bytes = 0
-    publishPart({ kind: 'rows', rows: gathered })
+    if (pendingRows.length === 0) return
+    const batch = pendingRows
+    pendingRows = []
+    pendingBytes = 0
+    publishPart({ kind: 'rows', rows: batch })
   }
 
   function addRow (row: Cell[]): void {
-    rows.push(row)
-    for (const cell of row) bytes += cell?.length ?? 0
-    if (rows.length >= ROWS_COUNT || bytes >= ROWS_BYTES) publishRows()
+    pendingRows.push(row)
+    for (const cell of row) pendingBytes += cell?.length ?? 0
+    if (pendingRows.length >= MAX_BATCH_ROWS || pendingBytes >= MAX_BATCH_BYTES) publishRows()
   }
 
   function addPart (part: ResultPart): void {
@@ -81,30 +81,30 @@
 
   function setFailure (error: Error): void {
     failure ??= error
-    wake?.()
+    wakeConsumer?.()
   }
 
-  function openFlow (): void {
-    if (!isPaused || parts.length >= WAITING_PARTS) return
+  function resumeFlow (): void {
+    if (!isPaused || pendingParts.length >= MAX_PENDING_PARTS) return
     isPaused = false
-    flow.resume()
+    flowControl.resume()
   }
 
   /** @throws the error given to `setFailure`, once the parts before it are taken */
-  async function waitPart (): Promise<ResultPart> {
+  async function waitForPart (): Promise<ResultPart> {
     for (;;) {
-      const part = parts.shift()
+      const part = pendingParts.shift()
       if (part !== undefined) {
-        openFlow()
+        resumeFlow()
         return part
       }
       if (failure !== null) throw failure
-      await new Promise<void>(resolve => { wake = resolve })
-      wake = null
+      await new Promise<void>(resolve => { wakeConsumer = resolve })
+      wakeConsumer = null
     }
   }
 
-  return { addRow, addPart, setFailure, waitPart }
+  return { addRow, addPart, setFailure, waitForPart }
 }
 
 export type PartQueue = ReturnType<typeof createPartQueue>
--- a/packages/proxy/src/pool/state.ts
+++ b/packages/proxy/src/pool/state.ts
@@ -16,7 +16,7 @@
   workspace: string
   grantedAtMs: number
   /** Service charged to the workspace when the connection was granted. */
-  estimateMs: number
+  estimatedServiceMs: number
 }
 
 /** What this VM may use of one instance. */
@@ -25,7 +25,7 @@
   /** Statements sent at once, transactions not counted. */
   statements: number
   /** Connections that transactions may hold. */
-  pinned: number
+  pinnedConnections: number
 }
 
 export interface PoolState {
@@ -33,24 +33,24 @@
   connections: Map<number, PooledConnection>
   queue: FairQueueState<Waiter>
   /** Requests in the queue. */
-  waiting: { statements: number, transactions: number }
+  waiterCounts: { statements: number, transactions: number }
   /** No request in the queue has an earlier deadline; kept so that most messages need not look at all of them. */
   earliestDeadlineMs: number
-  nextId: number
+  nextConnectionId: number
   /** No connection is opened before this time. */
   backoffUntilMs: number
   failures: number
   /** Moving average of the time a statement holds its connection. */
-  serviceMs: number
+  meanServiceMs: number
   /** Time of the wake-up already asked for. */
-  wakeAtMs: number
+  scheduledWakeAtMs: number
 }
 
-const FIRST_SERVICE_MS = 5
+const INITIAL_SERVICE_ESTIMATE_MS = 5
 
 /** Half of the connections stay with single statements, so that transactions cannot starve them. */
 export function computePoolLimits (connections: number, slots: number): PoolLimits {
-  return { connections, statements: Math.min(connections, slots * 2), pinned: Math.max(1, Math.floor(connections / 2)) }
+  return { connections, statements: Math.min(connections, slots * 2), pinnedConnections: Math.max(1, Math.floor(connections / 2)) }
 }
 
 export function createPoolState (limits: PoolLimits): PoolState {
@@ -58,12 +58,12 @@
     limits,
     connections: new Map(),
     queue: createFairQueue(),
-    waiting: { statements: 0, transactions: 0 },
+    waiterCounts: { statements: 0, transactions: 0 },
     earliestDeadlineMs: Infinity,
-    nextId: 1,
+    nextConnectionId: 1,
     backoffUntilMs: 0,
     failures: 0,
-    serviceMs: FIRST_SERVICE_MS,
-    wakeAtMs: Infinity
+    meanServiceMs: INITIAL_SERVICE_ESTIMATE_MS,
+    scheduledWakeAtMs: Infinity
   }
 }
--- a/packages/proxy/src/serving/find-read-target.ts
+++ b/packages/proxy/src/serving/find-read-target.ts
@@ -16,7 +16,7 @@
     history: context.readHistory(),
     nowMs: context.clock.readNow(),
     failureDomain: context.failureDomain,
-    countOutstanding: endpoint => context.pools.countOutstanding(endpoint),
+    countOutstanding: endpoint => context.pools.countOutstandingRequests(endpoint),
     excluded
   })
 }
--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -81,7 +81,7 @@
     confirmTerm(context)
     signal.publish()
   })
-  placement.subscribe(() => pools.updateShares())
+  placement.subscribe(() => pools.updateConnectionShares())
   return new GroupDatabaseService(context)
 }
 
