--- a/packages/proxy/src/pool/decide-pool.test.ts
+++ b/packages/proxy/src/pool/decide-pool.test.ts
@@ -19,7 +19,7 @@
 )
 type Action = typeof actionArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-/** An endpoint and callers around one pool decision; throws where the pool breaks a rule. */
+/** Simulates the endpoint and the clients of a pool; an assertion fails when the pool breaks a connection rule. */
 class SimulatedHost {
   readonly #decide: PoolDecision
   #state = createPoolState(computePoolLimits(4, 2))
@@ -50,7 +50,7 @@
       this.opening.push(effect.connection)
     }
     if (effect.type === 'close') {
-      if (this.held.has(effect.connection)) expect(this.#canCloseHeld, 'a held connection is cut').to.equal(true)
+      if (this.held.has(effect.connection)) expect(this.#canCloseHeld, 'a held connection is closed').to.equal(true)
       this.closing.push(effect.connection)
     }
     if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one answer to a request').to.equal(true)
@@ -123,7 +123,7 @@
     this.tell({ type: 'closed', connection })
   }
 
-  /** A host that goes on answering serves everybody who waits, or refuses them. */
+  /** Lets endpoint and clients respond normally, and checks that every waiting request is granted or refused. */
   settleWaiters (): void {
     this.tell({ type: 'limits', limits: computePoolLimits(4, 2) })
     for (let i = 0; i < 2_000 && this.waiting.size > 0; i++) {
@@ -132,7 +132,7 @@
       this.#finishOpening('ok')
       this.#release(0, true)
     }
-    expect(this.waiting.size, 'forgotten requests').to.equal(0)
+    expect(this.waiting.size, 'requests neither granted nor refused').to.equal(0)
   }
 }
 
@@ -145,9 +145,9 @@
 }
 
 describe('pool decision', () => {
-  it('keeps every rule of connections over 1,000 interleavings', () => checkConnectionRules(decidePool))
+  it('breaks no connection rule in 1,000 random sequences of events', () => checkConnectionRules(decidePool))
 
-  it('is told from a pool that reuses connections in doubt, and from one that ignores its share', () => {
+  it('is checked with rules that reject a pool that reuses connections in doubt and a pool that exceeds its connection limit', () => {
     const reusingInDoubt: PoolDecision = (state, message, nowMs) =>
       decidePool(state, message.type === 'released' ? { ...message, isReusable: true } : message, nowMs)
     expect(() => checkConnectionRules(reusingInDoubt)).to.throw('in doubt')
--- a/packages/proxy/src/pool/decide-pool.ts
+++ b/packages/proxy/src/pool/decide-pool.ts
@@ -4,12 +4,13 @@
 import type { PooledConnection, PoolLimits, PoolState, Waiter } from './state.ts'
 
 const MAX_WAITING_PER_WORKSPACE = 256
+/** Weight of the latest statement in the moving average of service times. */
 const SERVICE_AVERAGE_WEIGHT = 0.1
 const INITIAL_BACKOFF_MS = 20
 const MAX_BACKOFF_MS = 1_000
 const MIN_RETRY_AFTER_MS = 5
 
-/** Time after which a new request of `workspace` would be served. */
+/** Estimates how many milliseconds a new request of `workspace` would wait for a connection. */
 export function estimateWaitMs (state: PoolState, workspace: string): number {
   const concurrency = Math.max(1, Math.min(state.limits.statements, state.limits.connections))
   return countItemsAhead(state.queue, workspace) * state.meanServiceMs / concurrency
@@ -44,7 +45,7 @@
   else state.waiterCounts.statements += increment
 }
 
-/** Takes matching requests out of the queue. */
+/** Removes and returns the queued requests that match. */
 function removeWaiters (state: PoolState, matches: (waiter: Waiter) => boolean): Waiter[] {
   const removedWaiters = removeItems(state.queue, matches)
   for (const waiter of removedWaiters) updateWaiterCounts(state, waiter, -1)
@@ -97,7 +98,7 @@
   return state.connections.size
 }
 
-/** Closes idle connections above the share; busy ones close when they are released. */
+/** Closes idle connections above the limit; a busy connection can only be closed after its release. */
 function closeExcessConnections (state: PoolState, effects: PoolEffect[]): void {
   const idle = [...state.connections.values()].filter(c => c.state === 'idle')
   let openCount = [...state.connections.values()].filter(c => c.state !== 'closing').length
@@ -117,6 +118,7 @@
   }
 }
 
+/** Number of connections by what they are used for. */
 interface ConnectionUsage { busyUnpinned: number, busyPinned: number, opening: number }
 
 function countUsage (state: PoolState): ConnectionUsage {
@@ -149,7 +151,7 @@
   }
 }
 
-/** Opens connections for the waiters that could be served now. */
+/** Opens the connections needed to serve the waiters that the limits admit now. */
 function openNeededConnections (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
   if (nowMs < state.backoffUntilMs) return
   const { busyUnpinned, busyPinned, opening } = countUsage(state)
@@ -164,7 +166,7 @@
   }
 }
 
-/** Asks to be woken at the next deadline, or when the back-off ends. */
+/** Requests a `wake` message for the earliest deadline, or for the end of the backoff if that is sooner. */
 function scheduleWake (state: PoolState, nowMs: number, effects: PoolEffect[]): void {
   if (state.waiterCounts.statements + state.waiterCounts.transactions === 0) return
   const isBackingOff = state.backoffUntilMs > nowMs
@@ -181,8 +183,9 @@
 }
 
 /**
- * Sends waiting requests elsewhere. Running ones are cut only once the group has another primary: until
- * then the endpoint may come back and answer them, and afterwards nothing that they write survives.
+ * Refuses waiting requests, so that they can be sent to another endpoint. Connections with running
+ * requests are closed only when the group has another primary: until then the endpoint may become
+ * reachable again and respond, and afterwards nothing that they write survives.
  */
 function handleUnreachable (state: PoolState, isReplaced: boolean, effects: PoolEffect[]): void {
   for (const waiter of removeWaiters(state, () => true)) refuseWaiter(state, waiter, 'endpoint is unreachable', false, effects)
@@ -214,7 +217,10 @@
   }
 }
 
-/** Decides who gets a connection of one instance, and how many are held. */
+/**
+ * Applies a message to the pool of one instance: decides which requests get a connection, and how many
+ * connections are kept open. Changes `state` in place and returns it with the effects to run.
+ */
 export function decidePool (state: PoolState, message: PoolMessage, nowMs: number): Step<PoolState, PoolEffect> {
   const effects: PoolEffect[] = []
   applyMessage(state, message, nowMs, effects)
--- a/packages/proxy/src/pool/endpoint-connection.ts
+++ b/packages/proxy/src/pool/endpoint-connection.ts
@@ -5,27 +5,27 @@
 import { createPartQueue, isLastPart, type PartQueue, type ResultHeader, type ResultPart } from './part-queue.ts'
 
 const CONNECT_TIMEOUT_MS = 3_000
-/** An endpoint that has not closed by then is cut off. */
+/** Time that the endpoint has to close a connection before its socket is destroyed. */
 const CLOSE_TIMEOUT_MS = 1_000
-/** MySQL's status flag of a connection that is inside a transaction. */
+/** MySQL's status flag for a connection that is inside a transaction. */
 const SERVER_STATUS_IN_TRANS = 1
 
-/** A connection to one instance, for one statement at a time. */
+/** A connection to one instance that runs one statement at a time. */
 export interface EndpointConnection {
   readonly endpoint: string
   /**
-   * Runs one statement and yields the parts of its answer. Ending the generator early, a lost
-   * connection and a passed deadline all close the connection.
+   * Runs one statement and yields the parts of its response. The connection is closed when the
+   * generator is ended early or the statement does not complete.
    *
-   * @throws ConnectionLostError
-   * @throws StatementTimeoutError
+   * @throws ConnectionLostError when the connection ends before the response is complete, or has ended already
+   * @throws StatementTimeoutError when the response is not complete after `timeoutMs`
    */
   runStatement: (text: string, timeoutMs: number) => AsyncGenerator<ResultPart, void, void>
-  /** True while no statement is in doubt and the socket is open. */
+  /** True while the connection is open and no statement is running; an interrupted statement closes it. */
   isReusable: () => boolean
-  /** True when the last OK packet left the connection inside a transaction. */
+  /** Whether the connection was inside a transaction at its last OK packet. */
   isInTransaction: () => boolean
-  /** Says goodbye to the endpoint, or cuts the connection when a statement is running. */
+  /** Closes the connection in an orderly way, or destroys its socket when a statement is running or the endpoint does not close in time. */
   close: () => void
 }
 
@@ -36,7 +36,7 @@
   handleClosed?: () => void
 }
 
-/** `FieldPacket` as the text protocol delivers it. */
+/** Properties of a `FieldPacket` in the text protocol; the types of mysql2 lack some of them. */
 interface TextProtocolColumn {
   name: string
   orgName: string
@@ -121,9 +121,9 @@
 }
 
 /**
- * Opens a connection with the system's own credentials.
+ * Opens a connection with the credentials configured for the database, not with a client's.
  *
- * @throws ConnectError with `errno`, which is 1040 when the instance has no connection left
+ * @throws ConnectError with `errno`, which is 1040 when the instance accepts no more connections
  * @example
  * const connection = await openEndpointConnection({ endpoint, database })
  * for await (const part of connection.runStatement('SELECT 1', 1_000)) console.log(part.kind)
@@ -197,7 +197,10 @@
     }
   }
 
-  /** Passes the events of one query on to a queue of parts. */
+  /**
+   * Sends a query and queues its response as parts. Of several results only the first is queued; the
+   * transaction status is taken from the last.
+   */
   #startQuery (text: string): PartQueue {
     const connection = this.#connection
     const queue = createPartQueue({ pause: () => connection.pause(), resume: () => connection.resume() })
@@ -234,7 +237,7 @@
     this.#partQueue?.setFailure(new ConnectionLostError(`connection to ${this.endpoint} lost`, { cause }))
   }
 
-  /** Packets out of order may belong to another statement. */
+  /** Destroys the connection, because a packet out of order may belong to another statement. */
   #handleOutOfOrderPacket (cause: unknown): void {
     this.#handleConnectionLost(cause)
     this.#stream.destroy()
--- a/packages/proxy/src/pool/endpoint-pools.ts
+++ b/packages/proxy/src/pool/endpoint-pools.ts
@@ -14,6 +14,7 @@
   logger: Logger
 }
 
+/** `replaced`: unreachable, and another instance is primary. */
 type Reachability = 'reachable' | 'unreachable' | 'replaced'
 
 interface PoolEntry {
@@ -34,7 +35,7 @@
   return a.host === b.host && a.port === b.port
 }
 
-/** Keeps one connection pool for each instance of a database group; pools start when they are first used. */
+/** Keeps one connection pool for each instance of a database group; a pool is created when it is first used. */
 export class EndpointPools {
   readonly #options: EndpointPoolsOptions
   readonly #entries = new Map<string, PoolEntry>()
@@ -43,7 +44,7 @@
     this.#options = options
   }
 
-  /** The pool of an instance that belongs to the group; `undefined` for one that has left. */
+  /** Returns the pool of an instance, or `undefined` when the instance does not belong to the group. */
   findPool (name: string): InstancePool | undefined {
     const entry = this.#entries.get(name)
     if (entry !== undefined) return entry.pool
@@ -51,11 +52,12 @@
     return endpoint === undefined ? undefined : this.#addPool(endpoint).pool
   }
 
+  /** Counts the requests to an instance that are waiting or hold a connection. */
   countOutstandingRequests (name: string): number {
     return this.#entries.get(name)?.pool.countOutstandingRequests() ?? 0
   }
 
-  /** Ends the pools of instances that have left the group or moved, and frees requests from unreachable ones. */
+  /** Stops the pools of instances that have left the group or changed address, and refuses the requests that wait for unreachable ones. */
   updateInstances (): void {
     if (this.#entries.size === 0) return
     const views = new Map(this.#options.group.listInstances().map(i => [i.endpoint.endpoint, i]))
@@ -66,7 +68,7 @@
     }
   }
 
-  /** Follows this VM's share of the instances' connections. */
+  /** Adjusts the pools to this VM's current share of each instance's connections. */
   updateConnectionShares (): void {
     for (const entry of this.#entries.values()) this.#updateConnectionShare(entry)
   }
@@ -103,7 +105,7 @@
 
   #removePool (entry: PoolEntry): void {
     const { database, logger } = this.#options
-    logger.info('endpoint left', { database: database.database, endpoint: entry.endpoint.endpoint })
+    logger.info('endpoint left the group or changed address', { database: database.database, endpoint: entry.endpoint.endpoint })
     this.#entries.delete(entry.endpoint.endpoint)
     entry.pool.stopWhenIdle()
   }
--- a/packages/proxy/src/pool/errors.ts
+++ b/packages/proxy/src/pool/errors.ts
@@ -1,10 +1,10 @@
 import { BaseError } from '@camphorpitch/wire'
 
-/** Failures of connections to a database's instances. */
+/** Base class for failures of connections to a database's instances. */
 export const PoolError = BaseError.subclass('PoolError')
-/** No connection could be opened; nothing was sent. */
+/** No connection could be opened, so no statement was sent. */
 export const ConnectError = PoolError.subclass('ConnectError')
-/** The connection ended after a statement was sent and before its answer was whole. */
+/** The connection ended before the response to a statement was complete; the statement may have run. */
 export const ConnectionLostError = PoolError.subclass('ConnectionLostError')
-/** The statement's deadline passed after it was sent; its connection is closed. */
+/** The statement's timeout expired before its response was complete; its connection is closed. */
 export const StatementTimeoutError = PoolError.subclass('StatementTimeoutError')
--- a/packages/proxy/src/pool/fair-queue.test.ts
+++ b/packages/proxy/src/pool/fair-queue.test.ts
@@ -24,7 +24,7 @@
   return { add: item => items.push(item), pick: () => items.shift(), end: () => {} }
 }
 
-/** Mean waiting time of each workspace; what never ran counts up to the horizon. */
+/** Simulates a queue and returns the mean wait of each workspace; an item that never ran has waited until the end of the simulation. */
 function measureMeanWaitsMs (discipline: QueueDiscipline, arrivals: Item[]): Map<string, number> {
   const pending = [...arrivals]
   const running: Array<{ item: Item, endMs: number }> = []
@@ -49,7 +49,7 @@
   return new Map([...waitsMsByWorkspace].map(([w, list]) => [w, list.reduce((a, b) => a + b, 0) / list.length]))
 }
 
-/** Seven workspaces together at half of the capacity, and one that offers twice the capacity. */
+/** Seven light workspaces that together use half of the capacity, and one that offers twice the capacity. */
 const arrivalsArbitrary = fc.infiniteStream(fc.nat(999)).map(stream => {
   const draw = (): number => stream.next().value / 1_000
   const items: Item[] = []
@@ -69,7 +69,7 @@
 }
 
 describe('fair queue', () => {
-  it('keeps the worst-served of the workspaces within their share near the mean, where FIFO does not serve them', () => {
+  it('keeps the longest mean wait of the light workspaces near their average, and below a tenth of what it is in a FIFO queue', () => {
     fc.assert(fc.property(arrivalsArbitrary, arrivals => {
       const fair = computeLightWaitsMs(measureMeanWaitsMs(createFairDiscipline(), arrivals))
       expect(fair.worst).to.be.at.most(2 * fair.mean + 1)
--- a/packages/proxy/src/pool/fair-queue.ts
+++ b/packages/proxy/src/pool/fair-queue.ts
@@ -1,22 +1,22 @@
 /**
- * Fair queueing between workspaces by virtual time.
+ * State of start-time fair queueing between workspaces (Goyal, Vin and Cheng, 1996).
  *
- * Each workspace has a tag: the service it has received, in milliseconds of endpoint time. The next
- * item comes from the workspace with the lowest tag, and a workspace that was idle starts at the
- * queue's virtual time, so idling earns no credit. This is start-time fair queueing (Goyal, Vin and
- * Cheng, 1996); the true cost is charged when it becomes known.
+ * Each workspace has a start tag: the service that it has received, in milliseconds of endpoint time.
+ * The next item is taken from the workspace with the lowest tag. A workspace that was idle starts at
+ * the queue's virtual time, so that it gets no credit for being idle. An item is charged an estimate
+ * when it is taken, and its actual cost when that becomes known.
  */
 export interface FairQueueState<Item> {
   virtualTimeMs: number
   flowsByWorkspace: Map<string, Flow<Item>>
 }
 
-/** Most service that a workspace can be ahead of the others, so that one slow statement does not shut it out. */
+/** Limits how far a start tag can be ahead of virtual time, so that one slow statement does not block its workspace for long. */
 const MAX_SERVICE_LEAD_MS = 1_000
 
 interface Flow<Item> {
   startTagMs: number
-  /** Items handed out whose true cost is not yet known. */
+  /** Number of items taken whose actual cost is not yet known. */
   running: number
   waiting: Item[]
 }
@@ -26,7 +26,11 @@
   return { virtualTimeMs: 0, flowsByWorkspace: new Map() }
 }
 
-/** @example addItem(queue, 'nordlys', 'statement') */
+/**
+ * Adds an item to the end of its workspace's queue.
+ *
+ * @example addItem(queue, 'nordlys', 'statement')
+ */
 export function addItem<Item> (queue: FairQueueState<Item>, workspace: string, item: Item): void {
   const flow = queue.flowsByWorkspace.get(workspace)
   if (flow === undefined) {
@@ -38,7 +42,8 @@
 }
 
 /**
- * Takes the next item that `canServe` admits and charges its workspace `estimateMs`.
+ * Removes and returns the next item that `canServe` accepts, and charges its workspace `estimateMs`;
+ * `undefined` when there is none. Follow it with `recordCost` once the item has been served.
  *
  * @example pickItem(queue, () => true, 2) // 'statement'
  */
@@ -57,7 +62,7 @@
   return flow.waiting.splice(index, 1)[0]
 }
 
-/** Replaces the estimate charged for an item by what it cost; a long hold is charged up to `MAX_LEAD_MS`. */
+/** Replaces the estimate charged for an item by its actual cost; the workspace ends up at most `MAX_SERVICE_LEAD_MS` ahead of virtual time. */
 export function recordCost<Item> (queue: FairQueueState<Item>, workspace: string, estimateMs: number, costMs: number): void {
   const flow = queue.flowsByWorkspace.get(workspace)
   if (flow === undefined) return
@@ -79,17 +84,21 @@
   return removed
 }
 
-/** A flow behind virtual time would be raised to it on its next item, so it need not be kept. */
+/** Deletes an idle flow that is not ahead of virtual time, since its next item would start it at virtual time anyway. */
 function removeIdleFlow<Item> (queue: FairQueueState<Item>, workspace: string, flow: Flow<Item>): void {
   if (flow.waiting.length === 0 && flow.running === 0 && flow.startTagMs <= queue.virtualTimeMs) queue.flowsByWorkspace.delete(workspace)
 }
 
-/** @example countWaiting(queue, 'nordlys') // 3 */
+/**
+ * Counts the items of a workspace that have not been taken yet.
+ *
+ * @example countWaitingItems(queue, 'nordlys') // 3
+ */
 export function countWaitingItems<Item> (queue: FairQueueState<Item>, workspace: string): number {
   return queue.flowsByWorkspace.get(workspace)?.waiting.length ?? 0
 }
 
-/** Items that are served before a new one of `workspace`, when all workspaces take turns. */
+/** Counts the items that would be served before a new item of `workspace` if the workspaces took turns. */
 export function countItemsAhead<Item> (queue: FairQueueState<Item>, workspace: string): number {
   const waitingCount = countWaitingItems(queue, workspace)
   let ahead = 0
--- a/packages/proxy/src/pool/instance-pool.ts
+++ b/packages/proxy/src/pool/instance-pool.ts
@@ -5,14 +5,16 @@
 import type { PoolEffect, PoolMessage } from './messages.ts'
 import { createPoolState, type PoolLimits, type PoolState } from './state.ts'
 
-/** The answer to one request for a connection. */
+/** Outcome of a request for a connection. A granted connection must be given back with `release`; further calls of it do nothing. */
 export type Acquisition =
   | { granted: true, connection: EndpointConnection, release: (isReusable: boolean) => void }
   | { granted: false, reason: string, retryAfterMs: number, isOverload: boolean }
 
 export interface AcquireRequest {
   workspace: string
+  /** True for a transaction, which keeps its connection until it ends. */
   isPinned: boolean
+  /** Time on the pool's clock at which a waiting request is refused. */
   deadlineMs: number
 }
 
@@ -23,7 +25,7 @@
   limits: PoolLimits
   clock: Clock
   logger: Logger
-  /** Distinguishes the actors of pools that follow each other. */
+  /** Name of the pool's actor; unique also among successive pools of one instance. */
   name: string
 }
 
@@ -66,7 +68,7 @@
     })
   }
 
-  /** Asks for a connection; `cancel` withdraws the request unless it has been answered. */
+  /** Requests a connection. `cancel` withdraws the request; it does nothing after the request was granted or refused. */
   acquire (request: AcquireRequest): { acquisition: Promise<Acquisition>, cancel: () => void } {
     if (this.#isStopped || this.#isStoppingWhenIdle) return { acquisition: Promise.resolve(stoppedAcquisition), cancel: () => {} }
     const id = ++this.#lastWaiterId
@@ -86,28 +88,29 @@
     this.#slice.tell({ type: 'limits', limits })
   }
 
-  /** Refuses what waits; cuts what runs once another instance is primary. */
+  /** Refuses waiting requests and closes idle connections; `isReplaced` (another instance is primary) closes busy connections too. */
   handleUnreachable (isReplaced: boolean): void {
     this.#slice.tell({ type: 'unreachable', isReplaced })
   }
 
-  /** Requests granted or waiting. */
+  /** Counts the requests that are waiting or hold a connection. */
   countOutstandingRequests (): number {
     return this.#waiterResolvers.size + this.#grantedCount
   }
 
-  /** Connections held, those that are opening or closing included. */
+  /** Counts the connections, including those that are opening or closing. */
   countConnections (): number {
     return this.#slice.readState().connections.size
   }
 
-  /** Stops once everything granted has been released; for an endpoint that has left. */
+  /** Refuses requests from now on and stops the pool when every granted connection has been released; for an endpoint that has left. */
   stopWhenIdle (): void {
     this.#isStoppingWhenIdle = true
     this.setLimits({ connections: 0, statements: 0, pinnedConnections: 0 })
     if (this.#grantedCount === 0) this.stop()
   }
 
+  /** Stops the pool at once: closes all connections, also busy ones, and refuses waiting requests. */
   stop (): void {
     this.#isStopped = true
     clearTimeout(this.#wakeTimer)
@@ -145,7 +148,7 @@
     } catch (error) {
       const reason = describeError(error)
       const errno = readErrno(error)
-      logger.warn('connection refused', { database: database.database, endpoint: endpoint.endpoint, reason, errno })
+      logger.warn('connecting to endpoint failed', { database: database.database, endpoint: endpoint.endpoint, reason, errno })
       this.#slice.tell({ type: 'openFailed', connection: connectionId, reason, isLimitReached: errno === TOO_MANY_CONNECTIONS_ERRNO })
     }
   }
--- a/packages/proxy/src/pool/part-queue.ts
+++ b/packages/proxy/src/pool/part-queue.ts
@@ -1,6 +1,6 @@
 import type { Cell, Column } from '@camphorpitch/wire'
 
-/** What an OK packet says. */
+/** Contents of an OK packet. */
 export interface ResultHeader {
   affectedRows: number
   insertId: number | string
@@ -8,7 +8,7 @@
   serverStatus: number
 }
 
-/** One part of an endpoint's answer: `columns`, any number of `rows`, `end`; or `header`; or `failed`, which may also cut a result set short. */
+/** One part of an endpoint's response. A result set is `columns`, any number of `rows` and `end`; another statement has one `header`. `failed` takes the place of either, or ends a result set early. */
 export type ResultPart =
   | { kind: 'columns', columns: Column[] }
   | { kind: 'rows', rows: Cell[][] }
@@ -16,32 +16,33 @@
   | { kind: 'header', header: ResultHeader }
   | { kind: 'failed', errno: number, sqlState: string, message: string }
 
-/** Whether the endpoint has nothing more to say after this part. */
+/** Whether the response ends with this part. */
 export function isLastPart ({ kind }: ResultPart): boolean {
   return kind === 'end' || kind === 'header' || kind === 'failed'
 }
 
-/** Rows are handed on when this many bytes have gathered. */
+/** Rows are published as one part once they hold this many bytes. */
 const MAX_BATCH_BYTES = 65_536
-/** Rows are handed on when this many have gathered. */
+/** Rows are published as one part once there are this many. */
 const MAX_BATCH_ROWS = 256
-/** The endpoint is held back while this many parts wait for the consumer. */
+/** Reading from the endpoint is paused while this many parts wait for the consumer. */
 const MAX_PENDING_PARTS = 4
 
-/** Flow control towards the endpoint's socket. */
+/** Pauses and resumes reading from the endpoint's socket. */
 export interface FlowControl {
   pause: () => void
   resume: () => void
 }
 
 /**
- * Gathers rows into parts and holds the endpoint back while the consumer is slow.
+ * Queues the parts of a response for one consumer. Rows are batched into parts, and reading from the
+ * endpoint is paused while the consumer is slow.
  *
  * @example
  * const queue = createPartQueue({ pause: () => c.pause(), resume: () => c.resume() })
  * queue.addRow([Buffer.from('1')])
  * queue.addPart({ kind: 'end' })
- * await queue.waitPart() // { kind: 'rows', rows: [[<31>]] }
+ * await queue.waitForPart() // { kind: 'rows', rows: [[<31>]] }
  */
 export function createPartQueue (flowControl: FlowControl) {
   const pendingParts: ResultPart[] = []
@@ -90,7 +91,11 @@
     flowControl.resume()
   }
 
-  /** @throws the error given to `setFailure`, once the parts before it are taken */
+  /**
+   * Resolves with the next part.
+   *
+   * @throws the error given to `setFailure`, after all parts before it have been returned
+   */
   async function waitForPart (): Promise<ResultPart> {
     for (;;) {
       const part = pendingParts.shift()
--- a/packages/proxy/src/pool/state.ts
+++ b/packages/proxy/src/pool/state.ts
@@ -4,7 +4,7 @@
 export interface Waiter {
   id: number
   workspace: string
-  /** A transaction keeps its connection until it ends. */
+  /** True for a transaction, which keeps its connection until it ends. */
   isPinned: boolean
   deadlineMs: number
 }
@@ -13,16 +13,17 @@
   id: number
   state: 'opening' | 'idle' | 'busy' | 'closing'
   isPinned: boolean
+  /** Workspace that uses the connection; empty when none does. */
   workspace: string
   grantedAtMs: number
-  /** Service charged to the workspace when the connection was granted. */
+  /** Service time charged to the workspace when the connection was granted. */
   estimatedServiceMs: number
 }
 
-/** What this VM may use of one instance. */
+/** This VM's limits for one instance. */
 export interface PoolLimits {
   connections: number
-  /** Statements sent at once, transactions not counted. */
+  /** Statements that may run concurrently outside transactions. */
   statements: number
   /** Connections that transactions may hold. */
   pinnedConnections: number
@@ -32,23 +33,28 @@
   limits: PoolLimits
   connections: Map<number, PooledConnection>
   queue: FairQueueState<Waiter>
-  /** Requests in the queue. */
+  /** Number of requests in the queue. */
   waiterCounts: { statements: number, transactions: number }
-  /** No request in the queue has an earlier deadline; kept so that most messages need not look at all of them. */
+  /** Lower bound of the deadlines in the queue; avoids a scan of the queue for most messages. */
   earliestDeadlineMs: number
   nextConnectionId: number
   /** No connection is opened before this time. */
   backoffUntilMs: number
+  /** Failed attempts to open a connection since the last success. */
   failures: number
   /** Moving average of the time a statement holds its connection. */
   meanServiceMs: number
-  /** Time of the wake-up already asked for. */
+  /** Time of the `wake` message already requested; infinite when there is none. */
   scheduledWakeAtMs: number
 }
 
 const INITIAL_SERVICE_ESTIMATE_MS = 5
 
-/** Half of the connections stay with single statements, so that transactions cannot starve them. */
+/**
+ * Computes this VM's limits from its share of an instance's connections and from the number of
+ * statements that the instance runs at once (`slots`). Half of the connections are reserved for
+ * single statements, so that transactions cannot starve them; a share of one serves both.
+ */
 export function computePoolLimits (connections: number, slots: number): PoolLimits {
   return { connections, statements: Math.min(connections, slots * 2), pinnedConnections: Math.max(1, Math.floor(connections / 2)) }
 }
