--- a/packages/proxy/src/serving/cancellation.ts
+++ b/packages/proxy/src/serving/cancellation.ts
@@ -2,11 +2,11 @@
 export interface Cancellation {
   isCancelled: boolean
   /** Ends what the request waits for now; replaced as it goes on. */
-  handle: (() => void) | null
+  cancelCurrentStep: (() => void) | null
 }
 
 export function createCancellation (): Cancellation {
-  return { isCancelled: false, handle: null }
+  return { isCancelled: false, cancelCurrentStep: null }
 }
 
 /**
@@ -18,7 +18,7 @@
 export function makeCancellable<Value> (values: AsyncGenerator<Value, void, void>, cancellation: Cancellation): AsyncGenerator<Value, void, void> {
   const cancel = (): void => {
     cancellation.isCancelled = true
-    cancellation.handle?.()
+    cancellation.cancelCurrentStep?.()
   }
   const cancellable = Object.create(values) as AsyncGenerator<Value, void, void>
   cancellable.next = () => values.next()
--- a/packages/proxy/src/serving/database-service.test.ts
+++ b/packages/proxy/src/serving/database-service.test.ts
@@ -15,19 +15,19 @@
 const logger = createLogger({ process: 'test', level: 'silent' })
 const POLL_MS = 2
 
-function waitMs (ms: number): Promise<void> {
+function sleepMs (ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms))
 }
 
 /** Asks the stand-ins of this process directly. */
-class DirectGroup extends GroupView {
+class InProcessGroupView extends GroupView {
   readonly instances: RunningEndpoint[]
   readonly endpoints: Endpoint[]
   readonly listeners: Array<() => void> = []
   readonly unreachable = new Set<string>()
-  readonly seen = new Map<string, { status: InstanceStatus, probedAtMs: number }>()
+  readonly lastProbes = new Map<string, { status: InstanceStatus, probedAtMs: number }>()
   /** Coming probes that show their instance fenced, as they do while its primary changes. */
-  fencedProbes = 0
+  remainingFencedProbes = 0
 
   constructor (instances: RunningEndpoint[]) {
     super()
@@ -36,14 +36,14 @@
   }
 
   refresh (): void {
-    for (const i of this.instances) this.seen.set(i.instance, { status: i.member.readStatus(), probedAtMs: clock.readNow() })
+    for (const i of this.instances) this.lastProbes.set(i.instance, { status: i.member.readStatus(), probedAtMs: clock.readNow() })
     for (const l of this.listeners) l()
   }
 
   override listInstances (): readonly InstanceView[] {
     return this.endpoints.map(endpoint => {
-      const seen = this.seen.get(endpoint.endpoint)
-      return { endpoint, status: seen?.status ?? null, probedAtMs: seen?.probedAtMs ?? 0, isReachable: !this.unreachable.has(endpoint.endpoint) }
+      const lastProbe = this.lastProbes.get(endpoint.endpoint)
+      return { endpoint, status: lastProbe?.status ?? null, probedAtMs: lastProbe?.probedAtMs ?? 0, isReachable: !this.unreachable.has(endpoint.endpoint) }
     })
   }
 
@@ -53,14 +53,14 @@
   }
 
   override async probeInstance (name: string): Promise<InstanceStatus> {
-    await waitMs(0)
+    await sleepMs(0)
     if (this.unreachable.has(name)) throw new Error('unreachable')
     const status = this.instances.find(i => i.instance === name)!.member.readStatus()
-    if (this.fencedProbes > 0) {
-      this.fencedProbes -= 1
+    if (this.remainingFencedProbes > 0) {
+      this.remainingFencedProbes -= 1
       return { ...status, role: 'fenced', primary: null }
     }
-    this.seen.set(name, { status, probedAtMs: clock.readNow() })
+    this.lastProbes.set(name, { status, probedAtMs: clock.readNow() })
     return status
   }
 
@@ -76,7 +76,7 @@
         return state.term === position.term && hasReached(status, [[position.term, 1]], position)
       })
       if (holders.length >= 2) return true
-      await waitMs(POLL_MS)
+      await sleepMs(POLL_MS)
     }
     return false
   }
@@ -116,7 +116,7 @@
   }
 
   /** Passes nothing on, and closes nothing. */
-  silence (): void {
+  stopForwarding (): void {
     for (const s of this.#sockets) {
       s.unpipe()
       s.removeAllListeners('end')
@@ -130,7 +130,7 @@
   }
 }
 
-class WholePlacement extends PlacementView {
+class FixedPlacementView extends PlacementView {
   share = 20
   readonly listeners: Array<() => void> = []
   override listServingVms (): readonly string[] { return [] }
@@ -144,23 +144,23 @@
 describe('DatabaseService on the stand-in', () => {
   let instances: RunningEndpoint[] = []
   let system: ActorSystemRef
-  let group: DirectGroup
+  let group: InProcessGroupView
   let view: GroupView
-  let placement: WholePlacement
+  let placement: FixedPlacementView
   let service: DatabaseService
   let relays: Relay[] = []
   let count = 0
 
-  async function startAll (options: object = {}, isReal = false): Promise<void> {
+  async function startService (options: object = {}, isRealGroupView = false): Promise<void> {
     instances = await startEndpointGroup({ instances: ['db-1', 'db-2', 'db-3'], password: 'secret', connectDelayMs: 0, logLevel: 'silent', ...options })
-    group = new DirectGroup(instances)
+    group = new InProcessGroupView(instances)
     relays = instances.map(i => new Relay(i.port))
     for (const [n, relay] of relays.entries()) group.endpoints[n]!.port = await relay.listen()
     group.refresh()
-    placement = new WholePlacement()
+    placement = new FixedPlacementView()
     system = start()
     const database: Database = { database: 'orders', endpoints: group.endpoints, user: 'camphorpitch', password: 'secret' }
-    view = isReal ? startGroupView({ system, clock, logger, database, vm: 'vm-1', incarnation: 1 }) : group
+    view = isRealGroupView ? startGroupView({ system, clock, logger, database, vm: 'vm-1', incarnation: 1 }) : group
     service = startDatabaseService({ database, group: view, placement, system, clock, logger, failureDomain: 'fd-1' })
   }
 
@@ -210,7 +210,7 @@
     return frame?.kind === 'ok' ? frame.transactionId : null
   }
 
-  function findEndpoint (): string | undefined {
+  function findPrimaryName (): string | undefined {
     return view.findPrimary()?.endpoint.endpoint
   }
 
@@ -226,26 +226,26 @@
 
   /** A caller that sends the same statement again until it is answered. */
   async function repeatUntilOk (text: string, options: Partial<StatementRequest>): Promise<AnswerFrame[]> {
-    const answers: AnswerFrame[] = []
-    while (answers.at(-1)?.kind !== 'ok') answers.push(...await run(text, options))
-    return answers
+    const responses: AnswerFrame[] = []
+    while (responses.at(-1)?.kind !== 'ok') responses.push(...await run(text, options))
+    return responses
   }
 
-  function readRefusal (frames: AnswerFrame[]): string | undefined {
+  function readRefusalKind (frames: AnswerFrame[]): string | undefined {
     const last = frames.at(-1)
     return last?.kind === 'refused' ? last.refusal.kind : undefined
   }
 
   async function waitUntil (check: () => boolean): Promise<void> {
-    while (!check()) await waitMs(1)
+    while (!check()) await sleepMs(1)
   }
 
-  function countRuns (text: string): number {
+  function countStatementRuns (text: string): number {
     return instances.reduce((sum, i) => sum + i.record.statements.filter(s => s.text === text).length, 0)
   }
 
   it('writes to the primary and reads the write from a replica', async () => {
-    await startAll()
+    await startService()
     const [created] = await run('CREATE TABLE t (id INTEGER PRIMARY KEY, note TEXT)')
     expect(created).to.include({ kind: 'ok' })
     const [written] = await run("INSERT INTO t VALUES (7, 'æ')")
@@ -260,7 +260,7 @@
   })
 
   it('passes on the cells and columns of a direct connection byte for byte', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(10,2), day DATE, note TEXT, raw BLOB, ratio DOUBLE)')
     const [written] = await run("INSERT INTO t VALUES (9007199254740992, 9223372036854775807, 12.5, '2024-02-29', 'æ’s \\n 新 \\'', x'00FF270A5C', 0.1)")
     expect(written).to.include({ kind: 'ok', insertId: '9007199254740992' })
@@ -277,7 +277,7 @@
   })
 
   it('serves reads of a stated age from a replica that lags, and no older ones', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     await waitUntil(() => instances.every(i => i.member.readStatus().applied.index === 1))
     group.refresh()
@@ -289,36 +289,36 @@
   })
 
   it('keeps transactions apart, and loses them rather than running them outside', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY)')
     const transactionId = await begin()
     await run('INSERT INTO t VALUES (1)', { transactionId })
     expect(listCells(await run('SELECT count(*) FROM t', { transactionId }))).to.deep.equal([['1']])
     expect(listCells(await run('SELECT count(*) FROM t', { required: null }))).to.deep.equal([['0']])
-    for (const foreign of [{ sessionId: 's2' }, { workspace: 'other' }]) {
-      expect(readRefusal(await run('INSERT INTO t VALUES (2)', { transactionId, ...foreign }))).to.equal('transactionLost')
+    for (const otherIdentity of [{ sessionId: 's2' }, { workspace: 'other' }]) {
+      expect(readRefusalKind(await run('INSERT INTO t VALUES (2)', { transactionId, ...otherIdentity }))).to.equal('transactionLost')
     }
     const [committed] = await run('COMMIT', { transactionId, class: 'commit' })
     expect(committed).to.deep.include({ kind: 'ok', transactionId: null, position: { term: 1, index: 2 } })
-    expect(readRefusal(await run('INSERT INTO t VALUES (3)', { transactionId }))).to.equal('transactionLost')
-    const abandoned = await begin()
-    await run('INSERT INTO t VALUES (4)', { transactionId: abandoned })
-    service.abandon(abandoned!)
-    const cut = await begin()
-    await run('INSERT INTO t VALUES (5)', { transactionId: cut })
+    expect(readRefusalKind(await run('INSERT INTO t VALUES (3)', { transactionId }))).to.equal('transactionLost')
+    const abandonedTransactionId = await begin()
+    await run('INSERT INTO t VALUES (4)', { transactionId: abandonedTransactionId })
+    service.abandon(abandonedTransactionId!)
+    const lostTransactionId = await begin()
+    await run('INSERT INTO t VALUES (5)', { transactionId: lostTransactionId })
     changePrimary(0, 2)
-    expect(readRefusal(await run('INSERT INTO t VALUES (6)', { transactionId: cut }))).to.equal('transactionLost')
+    expect(readRefusalKind(await run('INSERT INTO t VALUES (6)', { transactionId: lostTransactionId }))).to.equal('transactionLost')
     await run('INSERT INTO t VALUES (7)')
     expect(listCells(await run('SELECT id FROM t', { required: null }))).to.deep.equal([['1'], ['7']])
   })
 
   it('says that an outcome is unknown when the reply or the second copy is missing, and settles named writes', async () => {
-    await startAll()
+    await startService()
     const cut = { cut: { peers: ['db-1', 'db-2', 'db-3'] } }
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)')
     await run('INSERT INTO t VALUES (1, 0), (2, 0)')
     instances[0]!.applyFaults({ dropReplies: 1 })
-    expect(readRefusal(await run('UPDATE t SET n = n + 1 WHERE id = 1', { timeoutMs: 100 }))).to.equal('outcomeUnknown')
+    expect(readRefusalKind(await run('UPDATE t SET n = n + 1 WHERE id = 1', { timeoutMs: 100 }))).to.equal('outcomeUnknown')
     await run('UPDATE t SET n = n WHERE id = 1', { writeId: 'order-0' })
     instances[0]!.applyFaults({ dropReplies: 2 })
     expect((await run('UPDATE t SET n = n WHERE id = 1', { writeId: 'silent', timeoutMs: 2_000 }))[0]).to.include({ kind: 'ok' })
@@ -328,36 +328,36 @@
     const [first] = await run(text, named)
     expect(first).to.deep.include({ kind: 'ok', affectedRows: 2 })
     expect((await run(text, named))[0]).to.deep.include({ kind: 'ok', affectedRows: 2, insertId: 0 })
-    expect(readRefusal(await run('DELETE FROM t', named))).to.equal('notRunDenied')
-    expect(readRefusal(await run('CREATE TABLE u (id INTEGER)', { writeId: 'ddl' }))).to.equal('notRunDenied')
+    expect(readRefusalKind(await run('DELETE FROM t', named))).to.equal('notRunDenied')
+    expect(readRefusalKind(await run('CREATE TABLE u (id INTEGER)', { writeId: 'ddl' }))).to.equal('notRunDenied')
     expect((await run(text, { ...named, workspace: 'other' }))[0]).to.include({ kind: 'ok' })
     for (const i of instances) i.applyFaults(cut)
-    expect(readRefusal(await run(text, { writeId: 'order-2', timeoutMs: 100 }))).to.equal('outcomeUnknown')
+    expect(readRefusalKind(await run(text, { writeId: 'order-2', timeoutMs: 100 }))).to.equal('outcomeUnknown')
     for (const i of instances) i.applyFaults({ cut: { peers: [] } })
     expect((await run(text, { writeId: 'order-2' }))[0]).to.include({ kind: 'ok' })
     expect(listCells(await run('SELECT n FROM t', { required: null }))).to.deep.equal([['4'], ['3']])
   })
 
   it('runs a named write once although its connection is cut at any step', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)')
     await run('INSERT INTO t VALUES (1, 0)')
     for (let i = 0; i < 20; i++) {
-      const answers = repeatUntilOk('UPDATE t SET n = n + 1', { writeId: `w-${i}`, timeoutMs: 2_000 })
-      await waitUntil(() => countRuns('BEGIN') > i)
-      await waitMs(i % 5)
+      const responses = repeatUntilOk('UPDATE t SET n = n + 1', { writeId: `w-${i}`, timeoutMs: 2_000 })
+      await waitUntil(() => countStatementRuns('BEGIN') > i)
+      await sleepMs(i % 5)
       relays[0]!.cut()
-      expect((await answers).at(-1)).to.deep.include({ kind: 'ok', affectedRows: 1 })
+      expect((await responses).at(-1)).to.deep.include({ kind: 'ok', affectedRows: 1 })
     }
     expect(listCells(await run('SELECT n FROM t', { required: null }))).to.deep.equal([['20']])
     instances[0]!.applyFaults({ dropReplies: 1 })
-    const naive = await repeatUntilOk('UPDATE t SET n = n + 1', { timeoutMs: 100 })
-    expect(naive.map(f => f.kind)).to.deep.equal(['refused', 'ok'])
+    const unnamedResponses = await repeatUntilOk('UPDATE t SET n = n + 1', { timeoutMs: 100 })
+    expect(unnamedResponses.map(f => f.kind)).to.deep.equal(['refused', 'ok'])
     expect(listCells(await run('SELECT n FROM t', { required: null })), 'an unnamed write repeated blindly is doubled').to.deep.equal([['22']])
   })
 
   it('reads after a change of primary although nobody has written in the new term', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const [written] = await run('INSERT INTO t VALUES (1)')
     const required = written?.kind === 'ok' ? written.position : null
@@ -366,27 +366,27 @@
     expect(frames.map(f => f.kind)).to.deep.equal(['columns', 'rows', 'end', 'position'])
     await waitUntil(() => instances[2]!.member.readStatus().applied.term === 2)
     group.refresh()
-    const replicaReads = countRuns('SELECT id FROM t')
+    const replicaReads = countStatementRuns('SELECT id FROM t')
     await run('SELECT id FROM t', { required, timeoutMs: 1_000 })
-    expect(countRuns('SELECT id FROM t')).to.equal(replicaReads + 1)
+    expect(countStatementRuns('SELECT id FROM t')).to.equal(replicaReads + 1)
   })
 
   it('asks an instance again that could not confirm a read, once no other is left', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const [written] = await run('INSERT INTO t VALUES (1)')
     const required = written?.kind === 'ok' ? written.position : null
     await waitUntil(() => instances.every(i => i.member.readStatus().applied.index === required?.index))
     group.refresh()
     group.unreachable.add('db-1')
-    group.fencedProbes = 2
+    group.remainingFencedProbes = 2
     const frames = await run('SELECT id FROM t', { required, timeoutMs: 3_000 })
     expect(frames.map(f => f.kind)).to.deep.equal(['columns', 'rows', 'end', 'position'])
-    expect(countRuns('SELECT id FROM t')).to.equal(3)
+    expect(countStatementRuns('SELECT id FROM t')).to.equal(3)
   })
 
   it('streams a large result while the consumer is slow, and closes the connection of a cancelled one', async () => {
-    await startAll()
+    await startService()
     const text = 'WITH RECURSIVE c(n) AS (SELECT 1 UNION ALL SELECT n + 1 FROM c WHERE n < 16384) SELECT n, hex(zeroblob(512)) FROM c'
     let bytes = 0
     let largest = 0
@@ -395,7 +395,7 @@
       const size = f.rows.reduce((sum, r) => sum + r.reduce((s, c) => s + (c?.length ?? 0), 0), 0)
       bytes += size
       largest = Math.max(largest, size)
-      await waitMs(0)
+      await sleepMs(0)
     }
     expect(bytes).to.be.greaterThan(16 * 1024 * 1024)
     expect(largest).to.be.lessThan(70_000)
@@ -406,19 +406,19 @@
   })
 
   it('runs nothing for callers that have gone while their statements waited', async () => {
-    await startAll({ statementDelayMs: 20 })
+    await startService({ statementDelayMs: 20 })
     await run('CREATE TABLE t (id INTEGER)')
-    const gone = Array.from({ length: 30 }, (_, n) => service.run(makeRequest(`INSERT INTO t VALUES (${n})`)))
-    const answers = gone.map(g => g.next())
+    const abandonedResponses = Array.from({ length: 30 }, (_, n) => service.run(makeRequest(`INSERT INTO t VALUES (${n})`)))
+    const firstFrames = abandonedResponses.map(g => g.next())
     await waitUntil(() => instances[0]!.record.statements.some(s => s.text.startsWith('INSERT')))
-    await Promise.all(gone.map(g => g.return()))
-    await Promise.all(answers)
+    await Promise.all(abandonedResponses.map(g => g.return()))
+    await Promise.all(firstFrames)
     await run('INSERT INTO t VALUES (100)')
     expect(instances[0]!.record.statements.filter(s => s.text.startsWith('INSERT')).length).to.be.below(12)
   })
 
   it('keeps a transaction whose caller stops reading after the last frame', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const transactionId = await begin()
     for await (const f of service.run(makeRequest('INSERT INTO t VALUES (1)', { transactionId }))) {
@@ -431,12 +431,12 @@
   })
 
   it('counts no connection for ever that a silent endpoint does not close', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const database: Database = { database: 'orders', endpoints: group.endpoints, user: 'camphorpitch', password: 'secret' }
     const closed = new Promise<void>((resolve, reject) => {
       openEndpointConnection({ endpoint: group.endpoints[0]!, database, handleClosed: resolve }).then(connection => {
-        relays[0]!.silence()
+        relays[0]!.stopForwarding()
         connection.close()
       }, reject)
     })
@@ -444,7 +444,7 @@
   })
 
   it('drains without cutting what was accepted, and hands connections over', async () => {
-    await startAll()
+    await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const transactionId = await begin()
     await Promise.all(Array.from({ length: 12 }, () => run('INSERT INTO t VALUES (1)')))
@@ -453,7 +453,7 @@
     await waitUntil(() => instances[0]!.record.countConnections() <= 1)
     let isDrained = false
     const drained = service.drain().then(() => { isDrained = true })
-    expect(readRefusal(await run('SELECT 1'))).to.equal('notRunRetry')
+    expect(readRefusalKind(await run('SELECT 1'))).to.equal('notRunRetry')
     await run('INSERT INTO t VALUES (2)', { transactionId })
     expect(isDrained).to.equal(false)
     expect((await run('COMMIT', { transactionId, class: 'commit' }))[0]).to.include({ kind: 'ok' })
@@ -461,51 +461,51 @@
   })
 
   it('never holds more connections than its share, and waits out a full instance', async () => {
-    await startAll({ maxConnections: 2, statementDelayMs: 1 })
+    await startService({ maxConnections: 2, statementDelayMs: 1 })
     await run('CREATE TABLE t (id INTEGER)')
-    const answers = await Promise.all(Array.from({ length: 30 }, () => run('INSERT INTO t VALUES (1)')))
-    expect(answers.map(a => a[0]!.kind)).to.deep.equal(Array(30).fill('ok'))
+    const responses = await Promise.all(Array.from({ length: 30 }, () => run('INSERT INTO t VALUES (1)')))
+    expect(responses.map(a => a[0]!.kind)).to.deep.equal(Array(30).fill('ok'))
     expect(instances[0]!.record.maxConnections).to.be.at.most(2)
   })
 
   it('loses and doubles nothing while primaries freeze and connections are cut', async () => {
-    await startAll({}, true)
+    await startService({}, true)
     await run('CREATE TABLE t (id INTEGER)')
     const outcomes = new Map<number, string>()
     let ids = 0
-    const progress = { isOver: false }
+    const sessionControl = { isOver: false }
     const runSession = async (n: number): Promise<void> => {
       const sessionId = `s${n}`
       let required: LogPosition | null = null
-      while (!progress.isOver) {
+      while (!sessionControl.isOver) {
         const id = ++ids
-        const [answer] = await run(`INSERT INTO t VALUES (${id})`, { sessionId, required, writeId: n % 2 === 0 ? `w${id}` : null, timeoutMs: 3_000 })
-        outcomes.set(id, answer?.kind === 'refused' ? answer.refusal.kind : answer!.kind)
-        if (answer?.kind !== 'ok') continue
-        required = answer.position
+        const [writeFrame] = await run(`INSERT INTO t VALUES (${id})`, { sessionId, required, writeId: n % 2 === 0 ? `w${id}` : null, timeoutMs: 3_000 })
+        outcomes.set(id, writeFrame?.kind === 'refused' ? writeFrame.refusal.kind : writeFrame!.kind)
+        if (writeFrame?.kind !== 'ok') continue
+        required = writeFrame.position
         const read = await run(`SELECT id FROM t WHERE id = ${id}`, { sessionId, required, timeoutMs: 3_000 })
         if (read.some(f => f.kind === 'end')) expect(listCells(read)).to.deep.equal([[String(id)]])
         const transactionId = await tryBegin(sessionId, required)
         if (transactionId === null) continue
-        const inner = ++ids
-        const frames = [...await run(`INSERT INTO t VALUES (${inner})`, { sessionId, transactionId }), ...await run('COMMIT', { class: 'commit', sessionId, transactionId, timeoutMs: 3_000 })]
+        const transactionWriteId = ++ids
+        const frames = [...await run(`INSERT INTO t VALUES (${transactionWriteId})`, { sessionId, transactionId }), ...await run('COMMIT', { class: 'commit', sessionId, transactionId, timeoutMs: 3_000 })]
         const refusal = frames.find(f => f.kind === 'refused')
-        outcomes.set(inner, refusal === undefined ? 'ok' : refusal.refusal.kind)
+        outcomes.set(transactionWriteId, refusal === undefined ? 'ok' : refusal.refusal.kind)
       }
     }
     const sessions = [0, 1, 2, 3, 4, 5].map(runSession)
-    const countOk = () => [...outcomes.values()].filter(o => o === 'ok').length
+    const countAcknowledged = () => [...outcomes.values()].filter(o => o === 'ok').length
     for (let round = 0; round < 2; round++) {
-      await waitUntil(() => countOk() >= 40 * (round + 1))
+      await waitUntil(() => countAcknowledged() >= 40 * (round + 1))
       for (const r of relays) r.cut()
-      const before = findEndpoint()
-      instances.find(i => i.instance === before)!.applyFaults({ freeze: true })
-      await waitUntil(() => findEndpoint() !== undefined && findEndpoint() !== before)
-      const resumeAt = countOk() + 20
-      await waitUntil(() => countOk() >= resumeAt)
-      instances.find(i => i.instance === before)!.applyFaults({ freeze: false })
+      const frozenPrimary = findPrimaryName()
+      instances.find(i => i.instance === frozenPrimary)!.applyFaults({ freeze: true })
+      await waitUntil(() => findPrimaryName() !== undefined && findPrimaryName() !== frozenPrimary)
+      const resumeAtCount = countAcknowledged() + 20
+      await waitUntil(() => countAcknowledged() >= resumeAtCount)
+      instances.find(i => i.instance === frozenPrimary)!.applyFaults({ freeze: false })
     }
-    progress.isOver = true
+    sessionControl.isOver = true
     await Promise.all(sessions)
     const counts = new Map<number, number>()
     for (const [id] of listCells(await run('SELECT id FROM t', { required: null, timeoutMs: 10_000 }))) counts.set(Number(id), (counts.get(Number(id)) ?? 0) + 1)
--- a/packages/proxy/src/serving/find-read-target.ts
+++ b/packages/proxy/src/serving/find-read-target.ts
@@ -1,10 +1,10 @@
 import { selectReadTarget, type ReadRequirement, type ReadTarget } from '../routing/select-read-target.ts'
-import { probeInTime } from './confirm-position.ts'
+import { probeWithTimeout } from './confirm-position.ts'
 import { computeTimeLeftMs, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
 /** Longest time between two looks at a group that does not change. */
-const RECHECK_MS = 50
-const REPLICA_RECHECK_MS = 1
+const RECHECK_INTERVAL_MS = 50
+const REPLICA_RECHECK_INTERVAL_MS = 1
 /** Longest wait for a replica while the primary could answer. */
 const MAX_REPLICA_WAIT_MS = 50
 
@@ -13,7 +13,7 @@
     instances: context.group.listInstances(),
     primary: context.group.findPrimary()?.endpoint.endpoint,
     requirement,
-    history: context.readHistory(),
+    history: context.readBaselineHistory(),
     nowMs: context.clock.readNow(),
     failureDomain: context.failureDomain,
     countOutstanding: endpoint => context.pools.countOutstandingRequests(endpoint),
@@ -24,10 +24,10 @@
 /** Probes every reachable instance; resolves when the first replica that may answer is known, or all have answered. */
 async function probeReplicas (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, timeoutMs: number): Promise<void> {
   const primary = context.group.findPrimary()?.endpoint.endpoint
-  const names = context.group.listInstances().filter(i => i.isReachable && !excluded.has(i.endpoint.endpoint)).map(i => i.endpoint.endpoint)
+  const reachableEndpoints = context.group.listInstances().filter(i => i.isReachable && !excluded.has(i.endpoint.endpoint)).map(i => i.endpoint.endpoint)
   await new Promise<void>(resolve => {
-    const probes = names.map(async name => {
-      await probeInTime(context, name, timeoutMs)
+    const probes = reachableEndpoints.map(async name => {
+      await probeWithTimeout(context, name, timeoutMs)
       const target = selectTarget(context, requirement, excluded)
       if (target.kind === 'instance' && target.endpoint !== primary) resolve()
     })
@@ -49,30 +49,30 @@
 }
 
 /** Looks for a replica, by probes too, for as long as that may help; settles for the primary then. */
-async function selectWithProbes (context: ServingContext, request: AcceptedRequest, requirement: ReadRequirement, excluded: ReadonlySet<string>): Promise<ReadTarget> {
-  const known = selectTarget(context, requirement, excluded)
-  if (isReplica(known)) return known
+async function selectTargetWithProbes (context: ServingContext, request: AcceptedRequest, requirement: ReadRequirement, excluded: ReadonlySet<string>): Promise<ReadTarget> {
+  const knownTarget = selectTarget(context, requirement, excluded)
+  if (isReplicaTarget(knownTarget)) return knownTarget
   const probeMs = Math.min(MAX_REPLICA_WAIT_MS, computeTimeLeftMs(context, request))
-  if (probeMs <= 0) return known
+  if (probeMs <= 0) return knownTarget
   await probeReplicas(context, requirement, excluded, probeMs)
-  const probed = selectTarget(context, requirement, excluded)
-  if (probed.kind === 'none' || isReplica(probed)) return probed
+  const probedTarget = selectTarget(context, requirement, excluded)
+  if (probedTarget.kind === 'none' || isReplicaTarget(probedTarget)) return probedTarget
   const waitMs = Math.min(MAX_REPLICA_WAIT_MS, computeTimeLeftMs(context, request))
-  return waitMs <= 0 ? probed : await waitReplica(context, requirement, excluded, waitMs)
+  return waitMs <= 0 ? probedTarget : await waitForReplica(context, requirement, excluded, waitMs)
 }
 
-function isReplica (target: ReadTarget): boolean {
+function isReplicaTarget (target: ReadTarget): boolean {
   return target.kind === 'instance' && !target.isPrimary
 }
 
-async function waitReplica (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, waitMs: number): Promise<ReadTarget> {
+async function waitForReplica (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, waitMs: number): Promise<ReadTarget> {
   const startMs = context.clock.readNow()
   for (;;) {
-    await context.waitChange(REPLICA_RECHECK_MS)
+    await context.waitChange(REPLICA_RECHECK_INTERVAL_MS)
     const waitedMs = context.clock.readNow() - startMs
     await probeReplicas(context, requirement, excluded, Math.max(1, waitMs - waitedMs))
     const target = selectTarget(context, requirement, excluded)
-    if (isReplica(target) || context.clock.readNow() - startMs >= waitMs) return target
+    if (isReplicaTarget(target) || context.clock.readNow() - startMs >= waitMs) return target
   }
 }
 
@@ -82,17 +82,17 @@
  * `excluded` is cleared once no other instance could answer.
  */
 export async function findReadTarget (context: ServingContext, request: AcceptedRequest, excluded: Set<string>): Promise<ReadTarget> {
-  let last: ReadTarget = { kind: 'none', reason: 'no majority of the instances answers' }
+  let lastTarget: ReadTarget = { kind: 'none', reason: 'no majority of the instances answers' }
   for (;;) {
     const requirement = await findRequirement(context, request, excluded)
     if (requirement !== null) {
-      last = await selectWithProbes(context, request, requirement, excluded)
-      if (last.kind === 'instance') return last
+      lastTarget = await selectTargetWithProbes(context, request, requirement, excluded)
+      if (lastTarget.kind === 'instance') return lastTarget
     }
-    const leftMs = computeTimeLeftMs(context, request)
-    if (leftMs <= 0) return last
+    const timeLeftMs = computeTimeLeftMs(context, request)
+    if (timeLeftMs <= 0) return lastTarget
     // Instances fail a read in passing, as while their primary changes; with none left they are asked again.
     excluded.clear()
-    await context.waitChange(Math.min(leftMs, RECHECK_MS))
+    await context.waitChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
   }
 }
--- a/packages/proxy/src/serving/run-on-connection.ts
+++ b/packages/proxy/src/serving/run-on-connection.ts
@@ -15,25 +15,25 @@
   if (pool === undefined) return { granted: false, reason: 'endpoint has left', retryAfterMs: 0, isOverload: false }
   const { cancellation } = request
   const { acquisition, cancel } = pool.acquire({ workspace, isPinned, deadlineMs })
-  cancellation.handle = cancel
+  cancellation.cancelCurrentStep = cancel
   if (cancellation.isCancelled) cancel()
   const outcome = await acquisition
-  cancellation.handle = null
+  cancellation.cancelCurrentStep = null
   return outcome
 }
 
 /** Runs a statement that is cut when its caller goes, at the request's deadline, or after `limitMs`. */
-export async function * runCancellable (context: ServingContext, request: AcceptedRequest, connection: EndpointConnection, text: string, limitMs = Infinity): AsyncGenerator<ResultPart, void, void> {
+export async function * runCancellable (context: ServingContext, request: AcceptedRequest, connection: EndpointConnection, text: string, maxDurationMs = Infinity): AsyncGenerator<ResultPart, void, void> {
   const { cancellation } = request
-  const timeoutMs = Math.max(MIN_TIMEOUT_MS, Math.min(limitMs, computeTimeLeftMs(context, request)))
-  cancellation.handle = () => connection.close()
+  const timeoutMs = Math.max(MIN_TIMEOUT_MS, Math.min(maxDurationMs, computeTimeLeftMs(context, request)))
+  cancellation.cancelCurrentStep = () => connection.close()
   try {
     for await (const part of connection.runStatement(text, timeoutMs)) {
-      if (isLastPart(part)) cancellation.handle = null
+      if (isLastPart(part)) cancellation.cancelCurrentStep = null
       yield part
     }
   } finally {
-    cancellation.handle = null
+    cancellation.cancelCurrentStep = null
   }
 }
 
@@ -44,13 +44,13 @@
 export async function * runOnConnection (context: ServingContext, request: AcceptedRequest, lease: ConnectionLease): AsyncGenerator<ResultPart, void, void> {
   const { connection, release } = lease
   try {
-    let last: ResultPart | undefined
+    let heldPart: ResultPart | undefined
     for await (const part of runCancellable(context, request, connection, request.text)) {
-      if (last !== undefined) yield last
-      last = part
+      if (heldPart !== undefined) yield heldPart
+      heldPart = part
     }
     release(connection.isReusable() && !connection.isInTransaction())
-    if (last !== undefined) yield last
+    if (heldPart !== undefined) yield heldPart
   } finally {
     release(connection.isReusable() && !connection.isInTransaction())
   }
--- a/packages/proxy/src/serving/run-own-statement.ts
+++ b/packages/proxy/src/serving/run-own-statement.ts
@@ -2,8 +2,8 @@
 import type { ServingContext } from './serving-context.ts'
 
 /** Name under which the system's own statements queue for connections. */
-const OWN_WORKSPACE = 'camphorpitch system'
-const TIMEOUT_MS = 5_000
+const SYSTEM_WORKSPACE = 'camphorpitch system'
+const STATEMENT_TIMEOUT_MS = 5_000
 
 /**
  * Runs a statement of the system's own on the endpoint, and returns the last part of its answer;
@@ -11,11 +11,11 @@
  */
 export async function runOwnStatement (context: ServingContext, endpoint: string, text: string): Promise<ResultPart | undefined> {
   const { database, logger, clock, pools } = context
-  const lease = await pools.findPool(endpoint)?.acquire({ workspace: OWN_WORKSPACE, isPinned: false, deadlineMs: clock.readNow() + TIMEOUT_MS }).acquisition
+  const lease = await pools.findPool(endpoint)?.acquire({ workspace: SYSTEM_WORKSPACE, isPinned: false, deadlineMs: clock.readNow() + STATEMENT_TIMEOUT_MS }).acquisition
   if (lease === undefined || !lease.granted) return undefined
   let last: ResultPart | undefined
   try {
-    for await (const part of lease.connection.runStatement(text, TIMEOUT_MS)) last = part
+    for await (const part of lease.connection.runStatement(text, STATEMENT_TIMEOUT_MS)) last = part
     if (last?.kind === 'failed') logger.debug('own statement failed', { database: database.database, endpoint, reason: last.message })
     return last
   } catch (error) {
--- a/packages/proxy/src/serving/run-write.ts
+++ b/packages/proxy/src/serving/run-write.ts
@@ -7,20 +7,20 @@
 import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 import { waitPrimary } from './wait-primary.ts'
 
-const RECHECK_MS = 50
+const MAX_RETRY_DELAY_MS = 50
 
 /** Turns an OK packet into the answer, once the commit is durable. */
 export async function confirmHeader (context: ServingContext, request: AcceptedRequest, endpoint: string, header: ResultHeader): Promise<AnswerFrame> {
-  const committed = parseCommitInfo(header.info)
-  const position = committed === null
+  const commitPosition = parseCommitInfo(header.info)
+  const position = commitPosition === null
     ? await confirmVisible(context, request, endpoint)
-    : await confirmCommit(context, request, committed)
+    : await confirmCommit(context, request, commitPosition)
   if (position === null) return makeRefusal('outcomeUnknown', 'the write was not confirmed by a second instance in time')
   return { kind: 'ok', affectedRows: header.affectedRows, insertId: header.insertId, position, transactionId: null }
 }
 
 /** The caller has its answer; or the statement surely was not run, and `hasReached` tells whether it was sent. */
-type AttemptEnd = 'answered' | { notRun: AnswerFrame, hasReached: boolean }
+type AttemptOutcome = 'answered' | { notRun: AnswerFrame, hasBeenSent: boolean }
 
 async function * convertPart (context: ServingContext, request: AcceptedRequest, endpoint: string, part: ResultPart): AsyncGenerator<AnswerFrame, void, void> {
   if (part.kind === 'header') {
@@ -40,18 +40,18 @@
   yield { kind: 'position', position }
 }
 
-async function * attemptWrite (context: ServingContext, request: AcceptedRequest, endpoint: string): AsyncGenerator<AnswerFrame, AttemptEnd, void> {
+async function * attemptWrite (context: ServingContext, request: AcceptedRequest, endpoint: string): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
   const lease = await acquireLease(context, request, endpoint, false)
   if (!lease.granted) {
     const refusal = makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs)
-    if (!lease.isOverload) return { notRun: refusal, hasReached: false }
+    if (!lease.isOverload) return { notRun: refusal, hasBeenSent: false }
     yield refusal
     return 'answered'
   }
   try {
     for await (const part of runOnConnection(context, request, lease)) {
       if (part.kind === 'failed' && isNotRunError(part.errno)) {
-        return { notRun: makeRefusal('notRunRetry', part.message, context.group.estimateRecoveryMs()), hasReached: true }
+        return { notRun: makeRefusal('notRunRetry', part.message, context.group.estimateRecoveryMs()), hasBeenSent: true }
       }
       yield * convertPart(context, request, endpoint, part)
     }
@@ -72,12 +72,12 @@
       return
     }
     writeDecision(context, request, primary.endpoint, 'primary')
-    const end = yield * attemptWrite(context, request, primary.endpoint)
-    if (end === 'answered') return
-    if (computeTimeLeftMs(context, request) <= 0 || (end.hasReached && !spendRetry(context.budget))) {
-      yield end.notRun
+    const outcome = yield * attemptWrite(context, request, primary.endpoint)
+    if (outcome === 'answered') return
+    if (computeTimeLeftMs(context, request) <= 0 || (outcome.hasBeenSent && !spendRetry(context.budget))) {
+      yield outcome.notRun
       return
     }
-    await context.waitChange(Math.min(RECHECK_MS, Math.max(1, computeTimeLeftMs(context, request))))
+    await context.waitChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
   }
 }
--- a/packages/proxy/src/serving/serving-context.ts
+++ b/packages/proxy/src/serving/serving-context.ts
@@ -14,8 +14,8 @@
   logger: Logger
   failureDomain: string
   budget: RetryBudget
-  barrier: TermBarrier
-  readHistory: () => BaselineHistory
+  termBarrier: TermBarrier
+  readBaselineHistory: () => BaselineHistory
   /** Resolves at the next change of the group, or after `timeoutMs`. */
   waitChange: (timeoutMs: number) => Promise<void>
 }
--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -31,21 +31,21 @@
 
 /** Resolvers that are called together at the next change of the group. */
 function createChangeSignal () {
-  let waiting = new Set<() => void>()
+  let waiters = new Set<() => void>()
   return {
     publish: () => {
-      const current = waiting
-      waiting = new Set()
-      for (const resolve of current) resolve()
+      const currentWaiters = waiters
+      waiters = new Set()
+      for (const resolve of currentWaiters) resolve()
     },
     wait: (timeoutMs: number) => new Promise<void>(resolve => {
       const finish = (): void => {
         clearTimeout(timer)
-        waiting.delete(finish)
+        waiters.delete(finish)
         resolve()
       }
       const timer = setTimeout(finish, timeoutMs)
-      waiting.add(finish)
+      waiters.add(finish)
     })
   }
 }
@@ -60,8 +60,8 @@
 export function startDatabaseService (options: DatabaseServiceOptions): DatabaseService {
   const { database, group, placement, system, clock, logger, failureDomain } = options
   const pools = new EndpointPools({ system, database, group, placement, clock, logger })
-  const signal = createChangeSignal()
-  let history: BaselineHistory = []
+  const changeSignal = createChangeSignal()
+  let baselineHistory: BaselineHistory = []
   const context: ServingContext = {
     database,
     group,
@@ -70,42 +70,42 @@
     logger,
     failureDomain,
     budget: createRetryBudget(),
-    barrier: createTermBarrier(),
+    termBarrier: createTermBarrier(),
 
-    readHistory: () => history,
-    waitChange: signal.wait
+    readBaselineHistory: () => baselineHistory,
+    waitChange: changeSignal.wait
   }
   group.subscribe(() => {
-    history = recordBaseline(history, group.listInstances())
+    baselineHistory = recordBaseline(baselineHistory, group.listInstances())
     pools.updateInstances()
-    confirmTerm(context)
-    signal.publish()
+    confirmPrimaryTerm(context)
+    changeSignal.publish()
   })
   placement.subscribe(() => pools.updateConnectionShares())
   return new GroupDatabaseService(context)
 }
 
 /** Replicas of a new term serve reads only after an entry of that term, so it is written without waiting for a caller. */
-function confirmTerm (context: ServingContext): void {
+function confirmPrimaryTerm (context: ServingContext): void {
   const primary = context.group.findPrimary()
   if (primary === undefined) return
   const view = context.group.listInstances().find(i => i.endpoint.endpoint === primary.endpoint.endpoint)
   if (!view?.status || isInTerm(view.status)) return
-  context.barrier.confirm(context, primary.endpoint.endpoint, view.status.term)
+  context.termBarrier.confirm(context, primary.endpoint.endpoint, view.status.term)
 }
 
 class GroupDatabaseService extends DatabaseService {
   readonly #context: ServingContext
   readonly #transactions: TransactionRunner
-  readonly #drained = new Set<() => void>()
-  #running = 0
+  readonly #drainResolvers = new Set<() => void>()
+  #runningCount = 0
   #isDraining = false
 
   constructor (context: ServingContext) {
     super()
     this.#context = context
     const namePrefix = `${context.database.database}-${randomBytes(6).toString('hex')}`
-    this.#transactions = new TransactionRunner(context, namePrefix, () => this.#checkDrained())
+    this.#transactions = new TransactionRunner(context, namePrefix, () => this.#resolveIfDrained())
   }
 
   override run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
@@ -118,12 +118,12 @@
       yield makeRefusal('notRunRetry', 'this VM is leaving', DRAIN_RETRY_AFTER_MS)
       return
     }
-    this.#running++
+    this.#runningCount++
     try {
       yield * this.#runAccepted({ ...request, cancellation, deadlineMs: this.#context.clock.readNow() + request.timeoutMs })
     } finally {
-      this.#running--
-      this.#checkDrained()
+      this.#runningCount--
+      this.#resolveIfDrained()
     }
   }
 
@@ -133,7 +133,7 @@
       case 'begin': return this.#transactions.begin(request)
       case 'read': return runRead(this.#context, request)
       case 'write': return request.writeId === null ? runWrite(this.#context, request) : runNamedWrite(this.#context, request)
-      default: return answerNoTransaction()
+      default: return respondOutsideTransaction()
     }
   }
 
@@ -148,15 +148,15 @@
   override drain (): Promise<void> {
     this.#isDraining = true
     return new Promise(resolve => {
-      this.#drained.add(resolve)
-      this.#checkDrained()
+      this.#drainResolvers.add(resolve)
+      this.#resolveIfDrained()
     })
   }
 
-  #checkDrained (): void {
-    if (!this.#isDraining || this.#running > 0 || this.#transactions.countOpen() > 0) return
-    for (const resolve of this.#drained) resolve()
-    this.#drained.clear()
+  #resolveIfDrained (): void {
+    if (!this.#isDraining || this.#runningCount > 0 || this.#transactions.countOpen() > 0) return
+    for (const resolve of this.#drainResolvers) resolve()
+    this.#drainResolvers.clear()
   }
 
   override stop (): void {
@@ -167,6 +167,6 @@
 }
 
 /** COMMIT and ROLLBACK outside a transaction do nothing. */
-async function * answerNoTransaction (): AsyncGenerator<AnswerFrame, void, void> {
+async function * respondOutsideTransaction (): AsyncGenerator<AnswerFrame, void, void> {
   yield { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: null }
 }
--- a/packages/proxy/src/serving/term-barrier.ts
+++ b/packages/proxy/src/serving/term-barrier.ts
@@ -3,9 +3,9 @@
 import { runOwnStatement } from './run-own-statement.ts'
 import type { ServingContext } from './serving-context.ts'
 
-const TIMEOUT_MS = 5_000
-const TABLE = 'camphorpitch_term'
-const CREATE_TABLE = `CREATE TABLE IF NOT EXISTS ${TABLE} (id INTEGER NOT NULL PRIMARY KEY, term BIGINT NOT NULL)`
+const DURABLE_TIMEOUT_MS = 5_000
+const TERM_TABLE = 'camphorpitch_term'
+const CREATE_TERM_TABLE = `CREATE TABLE IF NOT EXISTS ${TERM_TABLE} (id INTEGER NOT NULL PRIMARY KEY, term BIGINT NOT NULL)`
 
 /**
  * Shows that what a new primary took over from older terms survives the next promotion too.
@@ -19,43 +19,43 @@
   confirm: (context: ServingContext, endpoint: string, term: number) => Promise<boolean>
 }
 
-async function writeEntry (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
-  const text = `REPLACE INTO ${TABLE} (id, term) VALUES (1, ${term})`
+async function writeTermEntry (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
+  const text = `REPLACE INTO ${TERM_TABLE} (id, term) VALUES (1, ${term})`
   let last = await runOwnStatement(context, endpoint, text)
   if (last?.kind === 'failed' && isMissingTable(last.errno)) {
-    await runOwnStatement(context, endpoint, CREATE_TABLE)
+    await runOwnStatement(context, endpoint, CREATE_TERM_TABLE)
     last = await runOwnStatement(context, endpoint, text)
   }
   if (last?.kind !== 'header') return false
   const position = parseCommitInfo(last.header.info)
   if (position === null || position.term !== term) return false
-  return await context.group.waitDurable(position, TIMEOUT_MS)
+  return await context.group.waitDurable(position, DURABLE_TIMEOUT_MS)
 }
 
 /** @example await barrier.confirm(context, 'orders-2', 4) // true */
 export function createTermBarrier (): TermBarrier {
-  const writes = new Map<number, Promise<boolean>>()
+  const writesInFlight = new Map<number, Promise<boolean>>()
 
-  async function writeOnce (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
+  async function writeAndLogTermEntry (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
     try {
-      const isDurable = await writeEntry(context, endpoint, term)
+      const isDurable = await writeTermEntry(context, endpoint, term)
       context.logger.info('term confirmed', { database: context.database.database, endpoint, term, isDurable })
       return isDurable
     } catch (error) {
       context.logger.warn('term not confirmed', { database: context.database.database, endpoint, term, reason: String(error) })
       return false
     } finally {
-      writes.delete(term)
+      writesInFlight.delete(term)
     }
   }
 
   return {
     confirm: (context, endpoint, term) => {
-      const running = writes.get(term)
-      if (running !== undefined) return running
-      const started = writeOnce(context, endpoint, term)
-      writes.set(term, started)
-      return started
+      const currentWrite = writesInFlight.get(term)
+      if (currentWrite !== undefined) return currentWrite
+      const newWrite = writeAndLogTermEntry(context, endpoint, term)
+      writesInFlight.set(term, newWrite)
+      return newWrite
     }
   }
 }
