--- a/packages/proxy/src/serving/cancellation.ts
+++ b/packages/proxy/src/serving/cancellation.ts
@@ -1,7 +1,7 @@
-/** Tells the parts of a running request that its caller has gone. */
+/** Tells the steps of a running request that its client no longer wants the response. */
 export interface Cancellation {
   isCancelled: boolean
-  /** Ends what the request waits for now; replaced as it goes on. */
+  /** Ends the step that the request is waiting for; each step sets its own function and clears it when it ends. */
   cancelCurrentStep: (() => void) | null
 }
 
@@ -10,10 +10,10 @@
 }
 
 /**
- * Makes the end of a generator take effect while the generator still waits for its next value.
+ * Wraps a generator so that `return` and `throw` cancel its current step at once.
  *
- * An async generator sees `return` only at its next `yield`; until then it would go on queueing and
- * running a statement that nobody wants.
+ * An async generator handles `return` only at its next `yield`. Until then it would keep waiting for a
+ * connection or running a statement whose result is no longer wanted.
  */
 export function makeCancellable<Value> (values: AsyncGenerator<Value, void, void>, cancellation: Cancellation): AsyncGenerator<Value, void, void> {
   const cancel = (): void => {
--- a/packages/proxy/src/serving/confirm-position.ts
+++ b/packages/proxy/src/serving/confirm-position.ts
@@ -2,9 +2,10 @@
 import { hasShown, isInTerm, isPairMajority, isShownDurable } from '../routing/instance-contents.ts'
 import { computeTimeLeftMs, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
-/** A position known to survive any change of primary; `null` when that could not be shown in time. */
+/** A position known to survive any change of primary; `null` when this could not be confirmed in time. */
 export type ConfirmedPosition = LogPosition | null
 
+/** Resolves with the promise's value, or with `undefined` after `timeoutMs`. */
 async function waitWithTimeout<Value> (promise: Promise<Value>, timeoutMs: number): Promise<Value | undefined> {
   let timer: NodeJS.Timeout | undefined
   const timeout = new Promise<undefined>(resolve => { timer = setTimeout(resolve, Math.max(1, timeoutMs), undefined) })
@@ -15,7 +16,7 @@
   }
 }
 
-/** Status of an instance from a probe that begins now; `undefined` when it does not answer in time. */
+/** Returns the status of an instance from a probe that begins now; `undefined` when the instance does not respond within `timeoutMs`. */
 export async function probeWithTimeout (context: ServingContext, endpoint: string, timeoutMs: number): Promise<InstanceStatus | undefined> {
   try {
     return await waitWithTimeout(context.group.probeInstance(endpoint), timeoutMs)
@@ -24,6 +25,7 @@
   }
 }
 
+/** Resolves true once the entry at `position` survives any change of primary; false when that was not confirmed in time. */
 async function waitUntilDurable (context: ServingContext, request: AcceptedRequest, position: LogPosition): Promise<boolean> {
   if (position.index === 0) return true
   try {
@@ -38,7 +40,7 @@
   return await waitUntilDurable(context, request, position) ? position : null
 }
 
-/** Waits until all that was visible on the primary when this is called survives any change of primary. */
+/** Waits until all entries that were visible on the primary at the time of the call survive any change of primary. */
 export async function confirmVisible (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<ConfirmedPosition> {
   const status = await probeWithTimeout(context, endpoint, computeTimeLeftMs(context, request))
   if (status === undefined) return null
@@ -49,11 +51,13 @@
 }
 
 /**
- * Waits until all that was visible on a replica when this is called survives any change of primary.
+ * Waits until all entries that were visible on a replica at the time of the call survive any change of
+ * primary. Call it after the read: a replica that was promoted during the read may show entries that
+ * only it holds, and its status then tells that it is no longer a replica.
  *
- * An entry that a replica took over in the term it still follows is on the primary as well. In a group
- * of up to three instances those two are a majority, so it survives; larger groups wait for more. A
- * replica that was promoted during the read shows entries that only it holds, so it is asked afterwards.
+ * An entry that a replica received in the term it still follows is on the primary as well. In a group
+ * of up to three instances these two are a majority, so the entry survives. Larger groups wait for
+ * more instances.
  */
 export async function confirmVisibleOnReplica (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<ConfirmedPosition> {
   const status = await probeWithTimeout(context, endpoint, computeTimeLeftMs(context, request))
@@ -62,7 +66,7 @@
   return await confirmCommit(context, request, status.applied)
 }
 
-/** Whether the instance holds `required`, by its last status or by a probe that begins now. */
+/** Whether the instance holds `required`, according to its last status or to a probe that begins now. */
 export async function hasRequiredPosition (context: ServingContext, request: AcceptedRequest, endpoint: string, required: LogPosition): Promise<boolean> {
   const lastStatus = context.group.listInstances().find(i => i.endpoint.endpoint === endpoint)?.status
   if (lastStatus && hasShown(lastStatus, required)) return true
--- a/packages/proxy/src/serving/database-service.test.ts
+++ b/packages/proxy/src/serving/database-service.test.ts
@@ -19,14 +19,14 @@
   return new Promise(resolve => setTimeout(resolve, ms))
 }
 
-/** Asks the stand-ins of this process directly. */
+/** Group view that reads the stand-ins in this process directly instead of probing them over the network. */
 class InProcessGroupView extends GroupView {
   readonly instances: RunningEndpoint[]
   readonly endpoints: Endpoint[]
   readonly listeners: Array<() => void> = []
   readonly unreachable = new Set<string>()
   readonly lastProbes = new Map<string, { status: InstanceStatus, probedAtMs: number }>()
-  /** Coming probes that show their instance fenced, as they do while its primary changes. */
+  /** Number of coming probes that report their instance as fenced, as happens during a change of primary. */
   remainingFencedProbes = 0
 
   constructor (instances: RunningEndpoint[]) {
@@ -86,7 +86,7 @@
   override stop (): void {}
 }
 
-/** Forwards connections to an instance until it is told to cut them. */
+/** TCP relay in front of an instance; a test can close its connections or stop the forwarding. */
 class Relay {
   readonly #sockets = new Set<Socket>()
   readonly #server: Server
@@ -115,7 +115,7 @@
     for (const s of this.#sockets) s.destroy()
   }
 
-  /** Passes nothing on, and closes nothing. */
+  /** Stops forwarding data without closing any connection. */
   stopForwarding (): void {
     for (const s of this.#sockets) {
       s.unpipe()
@@ -130,6 +130,7 @@
   }
 }
 
+/** Placement in which this VM serves the database and may use `share` connections of each instance. */
 class FixedPlacementView extends PlacementView {
   share = 20
   readonly listeners: Array<() => void> = []
@@ -224,7 +225,7 @@
     group.refresh()
   }
 
-  /** A caller that sends the same statement again until it is answered. */
+  /** Sends the same statement again until it succeeds; returns the frames of all attempts. */
   async function repeatUntilOk (text: string, options: Partial<StatementRequest>): Promise<AnswerFrame[]> {
     const responses: AnswerFrame[] = []
     while (responses.at(-1)?.kind !== 'ok') responses.push(...await run(text, options))
@@ -259,7 +260,7 @@
     expect((await run('SELECT id FROM t WHERE id = 8')).map(f => f.kind)).to.deep.equal(['columns', 'end', 'position'])
   })
 
-  it('passes on the cells and columns of a direct connection byte for byte', async () => {
+  it('returns the same cells and columns as a direct connection, byte for byte', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(10,2), day DATE, note TEXT, raw BLOB, ratio DOUBLE)')
     const [written] = await run("INSERT INTO t VALUES (9007199254740992, 9223372036854775807, 12.5, '2024-02-29', 'æ’s \\n 新 \\'', x'00FF270A5C', 0.1)")
@@ -276,7 +277,7 @@
     direct.destroy()
   })
 
-  it('serves reads of a stated age from a replica that lags, and no older ones', async () => {
+  it('serves a read from a lagging replica if its maximum age allows that, and returns current data otherwise', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     await waitUntil(() => instances.every(i => i.member.readStatus().applied.index === 1))
@@ -288,7 +289,7 @@
     expect(listCells(await run('SELECT id FROM t', { required: null, maxAgeMs: 1 }))).to.deep.equal([['1']])
   })
 
-  it('keeps transactions apart, and loses them rather than running them outside', async () => {
+  it('isolates transactions, and refuses the statements of a lost transaction instead of running them outside it', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY)')
     const transactionId = await begin()
@@ -312,7 +313,7 @@
     expect(listCells(await run('SELECT id FROM t', { required: null }))).to.deep.equal([['1'], ['7']])
   })
 
-  it('says that an outcome is unknown when the reply or the second copy is missing, and settles named writes', async () => {
+  it('reports an unknown outcome when the reply or the second copy of a write is missing, and finds the outcome of a named write', async () => {
     await startService()
     const cut = { cut: { peers: ['db-1', 'db-2', 'db-3'] } }
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)')
@@ -338,7 +339,7 @@
     expect(listCells(await run('SELECT n FROM t', { required: null }))).to.deep.equal([['4'], ['3']])
   })
 
-  it('runs a named write once although its connection is cut at any step', async () => {
+  it('runs a named write once when its connection is closed at any step, whereas a repeated unnamed write runs twice', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)')
     await run('INSERT INTO t VALUES (1, 0)')
@@ -353,10 +354,10 @@
     instances[0]!.applyFaults({ dropReplies: 1 })
     const unnamedResponses = await repeatUntilOk('UPDATE t SET n = n + 1', { timeoutMs: 100 })
     expect(unnamedResponses.map(f => f.kind)).to.deep.equal(['refused', 'ok'])
-    expect(listCells(await run('SELECT n FROM t', { required: null })), 'an unnamed write repeated blindly is doubled').to.deep.equal([['22']])
+    expect(listCells(await run('SELECT n FROM t', { required: null })), 'a repeated unnamed write runs twice').to.deep.equal([['22']])
   })
 
-  it('reads after a change of primary although nobody has written in the new term', async () => {
+  it('serves reads after a change of primary before any client has written in the new term', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const [written] = await run('INSERT INTO t VALUES (1)')
@@ -371,7 +372,7 @@
     expect(countStatementRuns('SELECT id FROM t')).to.equal(replicaReads + 1)
   })
 
-  it('asks an instance again that could not confirm a read, once no other is left', async () => {
+  it('sends a read again to instances that could not confirm it when no other instance is left', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const [written] = await run('INSERT INTO t VALUES (1)')
@@ -385,7 +386,7 @@
     expect(countStatementRuns('SELECT id FROM t')).to.equal(3)
   })
 
-  it('streams a large result while the consumer is slow, and closes the connection of a cancelled one', async () => {
+  it('streams a large result in small parts to a slow consumer, and serves the next read after a result was cancelled', async () => {
     await startService()
     const text = 'WITH RECURSIVE c(n) AS (SELECT 1 UNION ALL SELECT n + 1 FROM c WHERE n < 16384) SELECT n, hex(zeroblob(512)) FROM c'
     let bytes = 0
@@ -405,7 +406,7 @@
     expect(listCells(await run('SELECT 5'))).to.deep.equal([['5']])
   })
 
-  it('runs nothing for callers that have gone while their statements waited', async () => {
+  it('does not run statements that are cancelled while they wait for a connection', async () => {
     await startService({ statementDelayMs: 20 })
     await run('CREATE TABLE t (id INTEGER)')
     const abandonedResponses = Array.from({ length: 30 }, (_, n) => service.run(makeRequest(`INSERT INTO t VALUES (${n})`)))
@@ -417,7 +418,7 @@
     expect(instances[0]!.record.statements.filter(s => s.text.startsWith('INSERT')).length).to.be.below(12)
   })
 
-  it('keeps a transaction whose caller stops reading after the last frame', async () => {
+  it('keeps a transaction open when the client stops reading after the last frame of a response', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const transactionId = await begin()
@@ -430,7 +431,8 @@
     expect((await run('COMMIT', { transactionId, class: 'commit' }))[0]).to.include({ kind: 'ok' })
   })
 
-  it('counts no connection for ever that a silent endpoint does not close', async () => {
+  // A connection that never closes would count against this VM's share for ever.
+  it('closes a connection when the endpoint does not respond to the close', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const database: Database = { database: 'orders', endpoints: group.endpoints, user: 'camphorpitch', password: 'secret' }
@@ -443,7 +445,7 @@
     await closed
   })
 
-  it('drains without cutting what was accepted, and hands connections over', async () => {
+  it('closes the connections above a reduced share; while draining, refuses new statements and completes an open transaction', async () => {
     await startService()
     await run('CREATE TABLE t (id INTEGER)')
     const transactionId = await begin()
@@ -460,7 +462,7 @@
     await drained
   })
 
-  it('never holds more connections than its share, and waits out a full instance', async () => {
+  it('completes all statements on an instance with few connections without exceeding its connection limit', async () => {
     await startService({ maxConnections: 2, statementDelayMs: 1 })
     await run('CREATE TABLE t (id INTEGER)')
     const responses = await Promise.all(Array.from({ length: 30 }, () => run('INSERT INTO t VALUES (1)')))
@@ -468,7 +470,7 @@
     expect(instances[0]!.record.maxConnections).to.be.at.most(2)
   })
 
-  it('loses and doubles nothing while primaries freeze and connections are cut', async () => {
+  it('neither loses nor duplicates writes while primaries freeze and connections are closed', async () => {
     await startService({}, true)
     await run('CREATE TABLE t (id INTEGER)')
     const outcomes = new Map<number, string>()
--- a/packages/proxy/src/serving/find-read-target.ts
+++ b/packages/proxy/src/serving/find-read-target.ts
@@ -2,10 +2,11 @@
 import { probeWithTimeout } from './confirm-position.ts'
 import { computeTimeLeftMs, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
-/** Longest time between two looks at a group that does not change. */
+/** Longest time until a group that does not change is checked again. */
 const RECHECK_INTERVAL_MS = 50
+/** Longest time between two rounds of probes while a read waits for a replica. */
 const REPLICA_RECHECK_INTERVAL_MS = 1
-/** Longest wait for a replica while the primary could answer. */
+/** Longest time for the first probes of the replicas, and again for the wait for one, while the primary could serve the read. */
 const MAX_REPLICA_WAIT_MS = 50
 
 function selectTarget (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>): ReadTarget {
@@ -21,7 +22,7 @@
   })
 }
 
-/** Probes every reachable instance; resolves when the first replica that may answer is known, or all have answered. */
+/** Probes every reachable instance that is not excluded; resolves as soon as a replica that can serve the read is known, or when all probes have ended. */
 async function probeReplicas (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, timeoutMs: number): Promise<void> {
   const primary = context.group.findPrimary()?.endpoint.endpoint
   const reachableEndpoints = context.group.listInstances().filter(i => i.isReachable && !excluded.has(i.endpoint.endpoint)).map(i => i.endpoint.endpoint)
@@ -35,7 +36,11 @@
   })
 }
 
-/** Turns the request's position into one that instances can be checked against; `null` when no majority tells it in time. */
+/**
+ * Finds the position that an instance must hold to serve the read: the one that the request requires;
+ * none, if an instance satisfies the request's maximum age; else the group's baseline. Returns `null`
+ * when no majority responds to tell the baseline in time.
+ */
 async function findRequirement (context: ServingContext, request: AcceptedRequest, excluded: ReadonlySet<string>): Promise<ReadRequirement | null> {
   const { maxAgeMs } = request
   if (request.required !== null) return { required: request.required, maxAgeMs }
@@ -43,12 +48,12 @@
   try {
     return { required: await context.group.readBaseline(Math.max(1, computeTimeLeftMs(context, request))), maxAgeMs }
   } catch (error) {
-    context.logger.debug('no baseline', { request: request.requestId, database: request.database, reason: String(error) })
+    context.logger.debug('baseline position unavailable for read', { request: request.requestId, database: request.database, reason: String(error) })
     return null
   }
 }
 
-/** Looks for a replica, by probes too, for as long as that may help; settles for the primary then. */
+/** Selects a replica by the last known statuses, else by probes, else after a short wait; falls back to the primary. */
 async function selectTargetWithProbes (context: ServingContext, request: AcceptedRequest, requirement: ReadRequirement, excluded: ReadonlySet<string>): Promise<ReadTarget> {
   const knownTarget = selectTarget(context, requirement, excluded)
   if (isReplicaTarget(knownTarget)) return knownTarget
@@ -77,9 +82,10 @@
 }
 
 /**
- * Finds the instance for a read: a replica known to hold what it needs, else one that a probe shows
- * to hold it, else the primary after a short wait for a replica, else whichever is the first to hold it.
- * `excluded` is cleared once no other instance could answer.
+ * Finds the instance for a read: a replica known to hold the required position, else one that a probe
+ * shows to hold it, else the primary after a short wait for a replica. When there is none, it waits
+ * until the request's deadline for the first instance that holds the position. `excluded` is cleared
+ * when no other instance can serve the read.
  */
 export async function findReadTarget (context: ServingContext, request: AcceptedRequest, excluded: Set<string>): Promise<ReadTarget> {
   let lastTarget: ReadTarget = { kind: 'none', reason: 'no majority of the instances answers' }
@@ -91,7 +97,7 @@
     }
     const timeLeftMs = computeTimeLeftMs(context, request)
     if (timeLeftMs <= 0) return lastTarget
-    // Instances fail a read in passing, as while their primary changes; with none left they are asked again.
+    // A failure may be temporary, as during a change of primary, so excluded instances are tried again.
     excluded.clear()
     await context.waitChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
   }
--- a/packages/proxy/src/serving/frames.ts
+++ b/packages/proxy/src/serving/frames.ts
@@ -1,6 +1,10 @@
 import type { AnswerFrame, Refusal } from '@camphorpitch/wire'
 
-/** @example makeRefusal('notRunRetry', 'no primary', 800) */
+/**
+ * Creates a refusal frame; a negative `retryAfterMs` becomes 0.
+ *
+ * @example makeRefusal('notRunRetry', 'no primary', 800)
+ */
 export function makeRefusal (kind: Refusal['kind'], reason: string, retryAfterMs?: number): AnswerFrame {
   const refusal: Refusal = retryAfterMs === undefined ? { kind, reason } : { kind, reason, retryAfterMs: Math.max(0, retryAfterMs) }
   return { kind: 'refused', refusal }
--- a/packages/proxy/src/serving/run-on-connection.ts
+++ b/packages/proxy/src/serving/run-on-connection.ts
@@ -5,10 +5,10 @@
 
 const MIN_TIMEOUT_MS = 1
 
-/** A connection on loan from a pool. */
+/** A connection granted by a pool, with the function that gives it back. */
 export type ConnectionLease = Extract<Acquisition, { granted: true }>
 
-/** Waits for a connection to the endpoint; one that has left the group grants none. */
+/** Waits for a connection to the endpoint until the request's deadline or its cancellation; refused when the endpoint has left the group. */
 export async function acquireLease (context: ServingContext, request: AcceptedRequest, endpoint: string, isPinned: boolean): Promise<Acquisition> {
   const { workspace, deadlineMs } = request
   const pool = context.pools.findPool(endpoint)
@@ -22,7 +22,13 @@
   return outcome
 }
 
-/** Runs a statement that is cut when its caller goes, at the request's deadline, or after `limitMs`. */
+/**
+ * Runs a statement and yields the parts of its response. The connection is closed when the request is
+ * cancelled, reaches its deadline, or the statement has run for `maxDurationMs`.
+ *
+ * @throws ConnectionLostError
+ * @throws StatementTimeoutError
+ */
 export async function * runCancellable (context: ServingContext, request: AcceptedRequest, connection: EndpointConnection, text: string, maxDurationMs = Infinity): AsyncGenerator<ResultPart, void, void> {
   const { cancellation } = request
   const timeoutMs = Math.max(MIN_TIMEOUT_MS, Math.min(maxDurationMs, computeTimeLeftMs(context, request)))
@@ -38,8 +44,11 @@
 }
 
 /**
- * Runs the statement outside a transaction and gives the connection back before the last part is
- * yielded. A connection that is left in doubt or inside a transaction is closed.
+ * Runs the request's statement outside a transaction, and releases the connection before it yields the
+ * last part. A connection with an interrupted statement or an open transaction is closed.
+ *
+ * @throws ConnectionLostError
+ * @throws StatementTimeoutError
  */
 export async function * runOnConnection (context: ServingContext, request: AcceptedRequest, lease: ConnectionLease): AsyncGenerator<ResultPart, void, void> {
   const { connection, release } = lease
--- a/packages/proxy/src/serving/run-own-statement.ts
+++ b/packages/proxy/src/serving/run-own-statement.ts
@@ -1,13 +1,13 @@
 import type { ResultPart } from '../pool/part-queue.ts'
 import type { ServingContext } from './serving-context.ts'
 
-/** Name under which the system's own statements queue for connections. */
+/** Workspace under which the proxy's own statements queue for connections. */
 const SYSTEM_WORKSPACE = 'camphorpitch system'
 const STATEMENT_TIMEOUT_MS = 5_000
 
 /**
- * Runs a statement of the system's own on the endpoint, and returns the last part of its answer;
- * `undefined` when there was none.
+ * Runs a statement that the proxy itself issues, and returns the last part of the endpoint's response;
+ * `undefined` when no connection was granted or the response was not complete. A failed statement is logged.
  */
 export async function runOwnStatement (context: ServingContext, endpoint: string, text: string): Promise<ResultPart | undefined> {
   const { database, logger, clock, pools } = context
@@ -16,10 +16,10 @@
   let last: ResultPart | undefined
   try {
     for await (const part of lease.connection.runStatement(text, STATEMENT_TIMEOUT_MS)) last = part
-    if (last?.kind === 'failed') logger.debug('own statement failed', { database: database.database, endpoint, reason: last.message })
+    if (last?.kind === 'failed') logger.debug('system statement rejected by endpoint', { database: database.database, endpoint, reason: last.message })
     return last
   } catch (error) {
-    logger.debug('own statement failed', { database: database.database, endpoint, reason: String(error) })
+    logger.debug('system statement not completed', { database: database.database, endpoint, reason: String(error) })
     return undefined
   } finally {
     lease.release(lease.connection.isReusable())
--- a/packages/proxy/src/serving/run-read.ts
+++ b/packages/proxy/src/serving/run-read.ts
@@ -10,20 +10,23 @@
 type InstanceTarget = Extract<ReadTarget, { kind: 'instance' }>
 
 /**
- * How one attempt ended: the caller has its answer, or nothing yet and `frame` says why. `hasReached`
- * is false when no statement was sent, so that a repeat adds no load.
+ * How one attempt ended. It is final when the whole response, or a refusal, was yielded. Otherwise the
+ * client has received nothing yet, and `frame` is the refusal to send if the read is not repeated.
+ * `hasRun` is true when the read may have run. `hasBeenSent` is false when no statement was sent, so
+ * that repeating the read adds no load on the endpoint.
  */
 type AttemptOutcome = { isFinal: true } | { isFinal: false, frame: AnswerFrame, hasRun: boolean, hasBeenSent: boolean }
 
-/** A result of this many frames is held until it is confirmed, so that the read can be repeated without the caller seeing two answers. */
+/** A result of at most this many frames is buffered until it is confirmed, so that the read can be repeated without sending the client two results. */
 const MAX_BUFFERED_FRAMES = 2
 
+/** Waits until all entries that the read can have seen survive any change of primary. */
 function confirmRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget) {
   const confirm = target.isPrimary ? confirmVisible : confirmVisibleOnReplica
   return confirm(context, request, target.endpoint)
 }
 
-/** Runs the read on one instance; `end` is sent once all that was seen is known to survive. */
+/** Runs the read on one instance; yields `end` only after the entries it read are known to survive a change of primary. */
 async function * attemptRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
   const lease = await acquireLease(context, request, target.endpoint, false)
   if (!lease.granted) return { isFinal: false, hasRun: false, hasBeenSent: false, frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs) }
@@ -53,6 +56,7 @@
   return yield * finishRead(context, request, target, bufferedFrames, failure)
 }
 
+/** Confirms the read after its last part; yields the buffered frames unless the read has to be repeated. */
 async function * finishRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget, bufferedFrames: AnswerFrame[] | null, failure: AnswerFrame | undefined): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
   if (failure !== undefined) {
     if (bufferedFrames !== null) yield * bufferedFrames
@@ -71,7 +75,7 @@
   return { isFinal: true }
 }
 
-/** Runs a read on a replica or the primary; a read that has yielded nothing may be repeated elsewhere. */
+/** Runs a read on a replica or the primary; a read that has yielded nothing yet may be repeated on another instance. */
 export async function * runRead (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
   recordRequest(context.budget)
   const excluded = new Set<string>()
--- a/packages/proxy/src/serving/run-write.ts
+++ b/packages/proxy/src/serving/run-write.ts
@@ -7,9 +7,10 @@
 import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 import { waitPrimary } from './wait-primary.ts'
 
+/** Longest time until a write is sent again if the group does not change before. */
 const MAX_RETRY_DELAY_MS = 50
 
-/** Turns an OK packet into the answer, once the commit is durable. */
+/** Converts an OK packet to the response once the commit is durable, and to a refusal when that is not confirmed before the request's deadline. */
 export async function confirmHeader (context: ServingContext, request: AcceptedRequest, endpoint: string, header: ResultHeader): Promise<AnswerFrame> {
   const commitPosition = parseCommitInfo(header.info)
   const position = commitPosition === null
@@ -19,9 +20,10 @@
   return { kind: 'ok', affectedRows: header.affectedRows, insertId: header.insertId, position, transactionId: null }
 }
 
-/** The caller has its answer; or the statement surely was not run, and `hasReached` tells whether it was sent. */
-type AttemptOutcome = 'answered' | { notRun: AnswerFrame, hasBeenSent: boolean }
+/** How one attempt ended: the response was sent, or the statement is known not to have run; `hasBeenSent` tells whether it was sent to the endpoint. */
+type AttemptOutcome = 'responded' | { notRun: AnswerFrame, hasBeenSent: boolean }
 
+/** Converts a part of the endpoint's response to frames; a `header` or `end` is confirmed first. */
 async function * convertPart (context: ServingContext, request: AcceptedRequest, endpoint: string, part: ResultPart): AsyncGenerator<AnswerFrame, void, void> {
   if (part.kind === 'header') {
     yield await confirmHeader(context, request, endpoint, part.header)
@@ -46,7 +48,7 @@
     const refusal = makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs)
     if (!lease.isOverload) return { notRun: refusal, hasBeenSent: false }
     yield refusal
-    return 'answered'
+    return 'responded'
   }
   try {
     for await (const part of runOnConnection(context, request, lease)) {
@@ -55,14 +57,14 @@
       }
       yield * convertPart(context, request, endpoint, part)
     }
-    return 'answered'
+    return 'responded'
   } catch (error) {
     yield makeRefusal('outcomeUnknown', describeError(error))
-    return 'answered'
+    return 'responded'
   }
 }
 
-/** Runs a write on the primary; it is sent again only when it surely was not run. */
+/** Runs a write on the primary; it is sent again only when it is known not to have run. */
 export async function * runWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
   recordRequest(context.budget)
   for (;;) {
@@ -73,7 +75,7 @@
     }
     writeDecision(context, request, primary.endpoint, 'primary')
     const outcome = yield * attemptWrite(context, request, primary.endpoint)
-    if (outcome === 'answered') return
+    if (outcome === 'responded') return
     if (computeTimeLeftMs(context, request) <= 0 || (outcome.hasBeenSent && !spendRetry(context.budget))) {
       yield outcome.notRun
       return
--- a/packages/proxy/src/serving/serving-context.ts
+++ b/packages/proxy/src/serving/serving-context.ts
@@ -5,14 +5,16 @@
 import type { Cancellation } from './cancellation.ts'
 import type { TermBarrier } from './term-barrier.ts'
 
-/** What the parts of one database's service share. */
+/** State and helpers shared by the steps that serve one database. */
 export interface ServingContext {
   database: Database
   group: GroupView
   pools: EndpointPools
   clock: Clock
   logger: Logger
+  /** Failure domain of this VM. */
   failureDomain: string
+  /** Limits how many statements are sent again. */
   budget: RetryBudget
   termBarrier: TermBarrier
   readBaselineHistory: () => BaselineHistory
@@ -26,13 +28,13 @@
   cancellation: Cancellation
 }
 
-/** Milliseconds to the deadline; none are left to a request whose caller has gone. */
+/** Returns the milliseconds until the request's deadline; negative after it, and 0 for a cancelled request. */
 export function computeTimeLeftMs (context: ServingContext, request: AcceptedRequest): number {
   if (request.cancellation.isCancelled) return 0
   return request.deadlineMs - context.clock.readNow()
 }
 
-/** One line for each decision on where a statement goes. */
+/** Logs the endpoint that a statement is sent to, and why that endpoint was chosen. */
 export function writeDecision (context: ServingContext, request: StatementRequest, endpoint: string, reason: string): void {
   context.logger.debug('statement routed', {
     request: request.requestId,
--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -29,7 +29,7 @@
   failureDomain: string
 }
 
-/** Resolvers that are called together at the next change of the group. */
+/** Creates a signal whose `publish` resolves the promises of all pending `wait` calls. */
 function createChangeSignal () {
   let waiters = new Set<() => void>()
   return {
@@ -71,7 +71,6 @@
     failureDomain,
     budget: createRetryBudget(),
     termBarrier: createTermBarrier(),
-
     readBaselineHistory: () => baselineHistory,
     waitChange: changeSignal.wait
   }
@@ -85,7 +84,7 @@
   return new GroupDatabaseService(context)
 }
 
-/** Replicas of a new term serve reads only after an entry of that term, so it is written without waiting for a caller. */
+/** Has an entry written in a new primary's term without waiting for a client's write, because replicas serve reads only after an entry of that term. */
 function confirmPrimaryTerm (context: ServingContext): void {
   const primary = context.group.findPrimary()
   if (primary === undefined) return
@@ -166,7 +165,7 @@
   }
 }
 
-/** COMMIT and ROLLBACK outside a transaction do nothing. */
+/** Responds to a COMMIT or ROLLBACK outside a transaction, which has no effect. */
 async function * respondOutsideTransaction (): AsyncGenerator<AnswerFrame, void, void> {
   yield { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: null }
 }
--- a/packages/proxy/src/serving/term-barrier.ts
+++ b/packages/proxy/src/serving/term-barrier.ts
@@ -8,14 +8,14 @@
 const CREATE_TERM_TABLE = `CREATE TABLE IF NOT EXISTS ${TERM_TABLE} (id INTEGER NOT NULL PRIMARY KEY, term BIGINT NOT NULL)`
 
 /**
- * Shows that what a new primary took over from older terms survives the next promotion too.
+ * Confirms that the entries which a new primary took over from older terms survive the next promotion.
  *
- * Copies of an older term's entry do not show that (Ongaro and Ousterhout, 2014, section 5.4.2); an
- * entry of the primary's own term that is durable does, for all that lies before it. So the barrier
- * writes such an entry when callers have not.
+ * Copies of an entry from an older term on other instances do not guarantee that (Ongaro and
+ * Ousterhout, 2014, section 5.4.2). A durable entry of the primary's current term does, for all
+ * entries before it. The barrier therefore writes such an entry when no client has.
  */
 export interface TermBarrier {
-  /** True once an entry of `term` is durable; concurrent callers share one write. */
+  /** Resolves true once an entry of `term` is durable, and false when the write failed or was not durable in time. Concurrent calls share one write. */
   confirm: (context: ServingContext, endpoint: string, term: number) => Promise<boolean>
 }
 
@@ -32,17 +32,21 @@
   return await context.group.waitDurable(position, DURABLE_TIMEOUT_MS)
 }
 
-/** @example await barrier.confirm(context, 'orders-2', 4) // true */
+/**
+ * Creates the barrier of one database.
+ *
+ * @example await barrier.confirm(context, 'orders-2', 4) // true
+ */
 export function createTermBarrier (): TermBarrier {
   const writesInFlight = new Map<number, Promise<boolean>>()
 
   async function writeAndLogTermEntry (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
     try {
       const isDurable = await writeTermEntry(context, endpoint, term)
-      context.logger.info('term confirmed', { database: context.database.database, endpoint, term, isDurable })
+      context.logger.info('term confirmation completed', { database: context.database.database, endpoint, term, isDurable })
       return isDurable
     } catch (error) {
-      context.logger.warn('term not confirmed', { database: context.database.database, endpoint, term, reason: String(error) })
+      context.logger.warn('term confirmation failed', { database: context.database.database, endpoint, term, reason: String(error) })
       return false
     } finally {
       writesInFlight.delete(term)
--- a/packages/proxy/src/serving/wait-primary.ts
+++ b/packages/proxy/src/serving/wait-primary.ts
@@ -4,7 +4,7 @@
 
 const RECHECK_INTERVAL_MS = 50
 
-/** Waits for a primary that holds `required`; `undefined` when none was found within the deadline. */
+/** Waits for a primary that holds `required`; `undefined` when none was found before the request's deadline, or when the group is not expected to recover before it. */
 export async function waitPrimary (context: ServingContext, request: AcceptedRequest, required: LogPosition | null): Promise<Endpoint | undefined> {
   for (;;) {
     const primary = context.group.findPrimary()
