--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -103,8 +103,8 @@
   constructor (context: ServingContext) {
     super()
     this.#context = context
-    const namePrefix = `${context.database.database}-${randomBytes(6).toString('hex')}`
-    this.#transactions = new TransactionRunner(context, namePrefix, () => this.#resolveIfDrained())
+    const transactionIdPrefix = `${context.database.database}-${randomBytes(6).toString('hex')}`
+    this.#transactions = new TransactionRunner(context, transactionIdPrefix, () => this.#resolveIfDrained())
   }
 
   override run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
--- a/packages/proxy/src/transactions/run-transaction.ts
+++ b/packages/proxy/src/transactions/run-transaction.ts
@@ -10,8 +10,8 @@
 import { findTransaction, listIdleTransactions, type Transaction, type TransactionTable } from './transaction-table.ts'
 
 const ROLLBACK_TIMEOUT_MS = 1_000
-const IDLE_CHECK_MS = 5_000
-const RETRY_WAIT_MS = 50
+const IDLE_CHECK_INTERVAL_MS = 5_000
+const MAX_RETRY_DELAY_MS = 50
 
 /** Whether a lost answer leaves open if the transaction was committed. */
 function isCommitInDoubt (request: AcceptedRequest): boolean {
@@ -22,10 +22,10 @@
 /** A BEGIN has no effect of its own, so it may be repeated; free of the retry budget when nothing was sent. */
 interface BeginAttempt {
   frame: AnswerFrame
-  repeat: 'never' | 'free' | 'budgeted'
+  retry: 'never' | 'free' | 'budgeted'
 }
 
-type FailedPart = Extract<ResultPart, { kind: 'failed' }>
+type FailedResultPart = Extract<ResultPart, { kind: 'failed' }>
 
 /**
  * Keeps the open transactions of one database, each on a connection of its own.
@@ -35,61 +35,61 @@
  */
 export class TransactionRunner {
   readonly #context: ServingContext
-  readonly #namePrefix: string
+  readonly #idPrefix: string
   readonly #handleEnded: () => void
-  readonly #table: TransactionTable = new Map()
-  readonly #timer: NodeJS.Timeout
-  #count = 0
+  readonly #openTransactions: TransactionTable = new Map()
+  readonly #idleCheckTimer: NodeJS.Timeout
+  #createdCount = 0
 
-  /** @param namePrefix makes the names of transactions unique over the fleet */
-  constructor (context: ServingContext, namePrefix: string, handleEnded: () => void) {
+  /** @param idPrefix makes the names of transactions unique over the fleet */
+  constructor (context: ServingContext, idPrefix: string, handleEnded: () => void) {
     this.#context = context
-    this.#namePrefix = namePrefix
+    this.#idPrefix = idPrefix
     this.#handleEnded = handleEnded
-    this.#timer = setInterval(() => this.#closeIdle(), IDLE_CHECK_MS)
-    this.#timer.unref()
+    this.#idleCheckTimer = setInterval(() => this.#closeIdleTransactions(), IDLE_CHECK_INTERVAL_MS)
+    this.#idleCheckTimer.unref()
   }
 
   countOpen (): number {
-    return this.#table.size
+    return this.#openTransactions.size
   }
 
   hasTransaction (transactionId: string): boolean {
-    return this.#table.has(transactionId)
+    return this.#openTransactions.has(transactionId)
   }
 
   async * begin (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
     const context = this.#context
     recordRequest(context.budget)
     for (;;) {
-      const { frame, repeat } = await this.#attemptBegin(request)
-      const canRepeat = repeat === 'free' || (repeat === 'budgeted' && spendRetry(context.budget))
-      if (!canRepeat || computeTimeLeftMs(context, request) <= 0) {
+      const { frame, retry } = await this.#attemptBegin(request)
+      const canRetry = retry === 'free' || (retry === 'budgeted' && spendRetry(context.budget))
+      if (!canRetry || computeTimeLeftMs(context, request) <= 0) {
         yield frame
         return
       }
-      await context.waitChange(Math.min(RETRY_WAIT_MS, Math.max(1, computeTimeLeftMs(context, request))))
+      await context.waitChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
     }
   }
 
   async #attemptBegin (request: AcceptedRequest): Promise<BeginAttempt> {
     const context = this.#context
-    const required = await this.#findRequired(request)
+    const required = await this.#findRequiredPosition(request)
     const primary = required === undefined ? undefined : await waitPrimary(context, request, required)
-    if (primary === undefined) return { frame: makeRefusal('notRunRetry', 'no primary', context.group.estimateRecoveryMs()), repeat: 'never' }
+    if (primary === undefined) return { frame: makeRefusal('notRunRetry', 'no primary', context.group.estimateRecoveryMs()), retry: 'never' }
     writeDecision(context, request, primary.endpoint, 'transaction on the primary')
     const lease = await acquireLease(context, request, primary.endpoint, true)
-    if (!lease.granted) return { frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs), repeat: lease.isOverload ? 'never' : 'free' }
+    if (!lease.granted) return { frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs), retry: lease.isOverload ? 'never' : 'free' }
     const last = await this.#sendBegin(request, lease)
-    if (last.kind === 'header') return { frame: this.#addTransaction(request, primary, lease), repeat: 'never' }
+    if (last.kind === 'header') return { frame: this.#addTransaction(request, primary, lease), retry: 'never' }
     lease.release(lease.connection.isReusable())
-    if (last.kind === 'failed' && !isNotRunError(last.errno)) return { frame: last, repeat: 'never' }
+    if (last.kind === 'failed' && !isNotRunError(last.errno)) return { frame: last, retry: 'never' }
     const reason = last.kind === 'failed' ? last.message : 'the transaction could not be opened'
-    return { frame: makeRefusal('notRunRetry', reason, context.group.estimateRecoveryMs()), repeat: 'budgeted' }
+    return { frame: makeRefusal('notRunRetry', reason, context.group.estimateRecoveryMs()), retry: 'budgeted' }
   }
 
   /** What the primary must hold, so that the transaction does not read from an old one; `undefined` when no majority tells it. */
-  async #findRequired (request: AcceptedRequest): Promise<LogPosition | undefined> {
+  async #findRequiredPosition (request: AcceptedRequest): Promise<LogPosition | undefined> {
     if (request.required !== null) return request.required
     const context = this.#context
     try {
@@ -113,8 +113,8 @@
   }
 
   #addTransaction (request: AcceptedRequest, endpoint: Endpoint, lease: ConnectionLease): AnswerFrame {
-    const id = `${this.#namePrefix}-${++this.#count}`
-    this.#table.set(id, {
+    const id = `${this.#idPrefix}-${++this.#createdCount}`
+    this.#openTransactions.set(id, {
       id,
       sessionId: request.sessionId,
       workspace: request.workspace,
@@ -122,13 +122,13 @@
       lease,
       isRunning: false,
       isAbandoned: false,
-      usedAtMs: this.#context.clock.readNow()
+      lastUsedAtMs: this.#context.clock.readNow()
     })
     return { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: id }
   }
 
   async * run (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
-    const transaction = findTransaction(this.#table, request.transactionId ?? '', request.sessionId, request.workspace)
+    const transaction = findTransaction(this.#openTransactions, request.transactionId ?? '', request.sessionId, request.workspace)
     if (transaction === undefined) {
       yield makeRefusal('transactionLost', 'the transaction is no longer open')
       return
@@ -147,7 +147,7 @@
       isEnded = yield * this.#runStatement(transaction, request)
     } finally {
       transaction.isRunning = false
-      transaction.usedAtMs = this.#context.clock.readNow()
+      transaction.lastUsedAtMs = this.#context.clock.readNow()
       const { connection } = transaction.lease
       if (isEnded || !connection.isReusable()) this.#endTransaction(transaction, !connection.isInTransaction())
     }
@@ -157,8 +157,8 @@
   async * #runStatement (transaction: Transaction, request: AcceptedRequest): AsyncGenerator<AnswerFrame, boolean, void> {
     try {
       for await (const part of runCancellable(this.#context, request, transaction.lease.connection, request.text)) {
-        if (part.kind === 'header') return yield * this.#answerHeader(transaction, request, part.header)
-        if (part.kind === 'failed') return yield * this.#answerError(transaction, request, part)
+        if (part.kind === 'header') return yield * this.#respondToHeader(transaction, request, part.header)
+        if (part.kind === 'failed') return yield * this.#respondToError(transaction, request, part)
         yield part
       }
       return false
@@ -168,7 +168,7 @@
     }
   }
 
-  async * #answerHeader (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): AsyncGenerator<AnswerFrame, boolean, void> {
+  async * #respondToHeader (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): AsyncGenerator<AnswerFrame, boolean, void> {
     const { affectedRows, insertId } = header
     const isEnd = request.class === 'commit' || request.class === 'rollback'
     if (isEnd || !transaction.lease.connection.isInTransaction()) {
@@ -180,7 +180,7 @@
   }
 
   /** An error that may have ended the transaction closes its connection, so that nothing runs outside of it. */
-  async * #answerError (transaction: Transaction, request: AcceptedRequest, part: FailedPart): AsyncGenerator<AnswerFrame, boolean, void> {
+  async * #respondToError (transaction: Transaction, request: AcceptedRequest, part: FailedResultPart): AsyncGenerator<AnswerFrame, boolean, void> {
     const isEnd = request.class === 'commit' || request.class === 'rollback' || isTransactionEndError(part.errno)
     if (isEnd || isNotRunError(part.errno)) transaction.lease.connection.close()
     if (isNotRunError(part.errno)) {
@@ -193,10 +193,10 @@
 
   /** What the transaction read or wrote must survive before its end is acknowledged. */
   async #confirmEnd (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): Promise<AnswerFrame> {
-    const committed = parseCommitInfo(header.info)
-    const position = committed === null
+    const commitPosition = parseCommitInfo(header.info)
+    const position = commitPosition === null
       ? await confirmVisible(this.#context, request, transaction.endpoint.endpoint)
-      : await confirmCommit(this.#context, request, committed)
+      : await confirmCommit(this.#context, request, commitPosition)
     if (position !== null) return { kind: 'ok', affectedRows: header.affectedRows, insertId: header.insertId, position, transactionId: null }
     if (request.class === 'rollback') return makeRefusal('transactionLost', 'rolled back; what it read was not confirmed by a second instance')
     return makeRefusal('outcomeUnknown', 'the commit was not confirmed by a second instance in time')
@@ -204,7 +204,7 @@
 
   /** Rolls back and gives the connection back; one that is running a statement is closed. */
   abandon (id: string): void {
-    const transaction = this.#table.get(id)
+    const transaction = this.#openTransactions.get(id)
     if (transaction === undefined || transaction.isAbandoned) return
     if (transaction.isRunning) this.#endTransaction(transaction, false)
     else this.#rollBack(transaction)
@@ -213,33 +213,33 @@
   async #rollBack (transaction: Transaction): Promise<void> {
     transaction.isAbandoned = true
     transaction.isRunning = true
-    let isClean = false
+    let isRolledBack = false
     try {
-      for await (const part of transaction.lease.connection.runStatement('ROLLBACK', ROLLBACK_TIMEOUT_MS)) isClean ||= part.kind === 'header'
+      for await (const part of transaction.lease.connection.runStatement('ROLLBACK', ROLLBACK_TIMEOUT_MS)) isRolledBack ||= part.kind === 'header'
     } catch (error) {
       this.#context.logger.debug('rollback failed', { transaction: transaction.id, reason: describeError(error) })
     }
-    this.#endTransaction(transaction, isClean)
+    this.#endTransaction(transaction, isRolledBack)
   }
 
-  #endTransaction (transaction: Transaction, isClean: boolean): void {
-    if (!this.#table.delete(transaction.id)) return
+  #endTransaction (transaction: Transaction, isOutsideTransaction: boolean): void {
+    if (!this.#openTransactions.delete(transaction.id)) return
     const { connection, release } = transaction.lease
-    const isReusable = isClean && connection.isReusable()
+    const isReusable = isOutsideTransaction && connection.isReusable()
     if (!isReusable) connection.close()
     release(isReusable)
     this.#handleEnded()
   }
 
-  #closeIdle (): void {
-    for (const transaction of listIdleTransactions(this.#table, this.#context.clock.readNow())) {
+  #closeIdleTransactions (): void {
+    for (const transaction of listIdleTransactions(this.#openTransactions, this.#context.clock.readNow())) {
       this.#context.logger.info('transaction abandoned', { database: this.#context.database.database, transaction: transaction.id, reason: 'idle' })
       this.#endTransaction(transaction, false)
     }
   }
 
   stop (): void {
-    clearInterval(this.#timer)
-    for (const transaction of [...this.#table.values()]) this.#endTransaction(transaction, false)
+    clearInterval(this.#idleCheckTimer)
+    for (const transaction of [...this.#openTransactions.values()]) this.#endTransaction(transaction, false)
   }
 }
--- a/packages/proxy/src/transactions/transaction-table.ts
+++ b/packages/proxy/src/transactions/transaction-table.ts
@@ -11,7 +11,7 @@
   isRunning: boolean
   /** Set when the transaction must end as soon as its running statement has. */
   isAbandoned: boolean
-  usedAtMs: number
+  lastUsedAtMs: number
 }
 
 export type TransactionTable = Map<string, Transaction>
@@ -28,5 +28,5 @@
 
 /** Transactions whose callers have sent nothing for the idle timeout. */
 export function listIdleTransactions (table: TransactionTable, nowMs: number): Transaction[] {
-  return [...table.values()].filter(t => !t.isRunning && nowMs - t.usedAtMs >= IDLE_TIMEOUT_MS)
+  return [...table.values()].filter(t => !t.isRunning && nowMs - t.lastUsedAtMs >= IDLE_TIMEOUT_MS)
 }
