--- a/packages/proxy/src/transactions/run-transaction.ts
+++ b/packages/proxy/src/transactions/run-transaction.ts
@@ -11,15 +11,19 @@
 
 const ROLLBACK_TIMEOUT_MS = 1_000
 const IDLE_CHECK_INTERVAL_MS = 5_000
+/** Longest time until a BEGIN is repeated if the group does not change before. */
 const MAX_RETRY_DELAY_MS = 50
 
-/** Whether a lost answer leaves open if the transaction was committed. */
+/** Whether the transaction may have been committed when the response to this request is lost. */
 function isCommitInDoubt (request: AcceptedRequest): boolean {
   if (request.class === 'commit') return true
   return request.class === 'write' && canCommitImplicitly(request.text)
 }
 
-/** A BEGIN has no effect of its own, so it may be repeated; free of the retry budget when nothing was sent. */
+/**
+ * Outcome of one attempt to begin a transaction. A BEGIN has no effect by itself, so it may be repeated:
+ * `free` when nothing was sent, `budgeted` when the retry budget must allow it.
+ */
 interface BeginAttempt {
   frame: AnswerFrame
   retry: 'never' | 'free' | 'budgeted'
@@ -41,7 +45,10 @@
   readonly #idleCheckTimer: NodeJS.Timeout
   #createdCount = 0
 
-  /** @param idPrefix makes the names of transactions unique over the fleet */
+  /**
+   * @param idPrefix makes transaction ids unique across the fleet
+   * @param handleEnded called each time a transaction has ended
+   */
   constructor (context: ServingContext, idPrefix: string, handleEnded: () => void) {
     this.#context = context
     this.#idPrefix = idPrefix
@@ -58,6 +65,7 @@
     return this.#openTransactions.has(transactionId)
   }
 
+  /** Begins a transaction on the primary; yields `ok` with the transaction's id, an error, or a refusal. */
   async * begin (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
     const context = this.#context
     recordRequest(context.budget)
@@ -88,26 +96,26 @@
     return { frame: makeRefusal('notRunRetry', reason, context.group.estimateRecoveryMs()), retry: 'budgeted' }
   }
 
-  /** What the primary must hold, so that the transaction does not read from an old one; `undefined` when no majority tells it. */
+  /** Finds the position that the primary must hold, so that the transaction does not run on an outdated primary; `undefined` when no majority responds to tell it. */
   async #findRequiredPosition (request: AcceptedRequest): Promise<LogPosition | undefined> {
     if (request.required !== null) return request.required
     const context = this.#context
     try {
       return await context.group.readBaseline(Math.max(1, computeTimeLeftMs(context, request)))
     } catch (error) {
-      context.logger.debug('no baseline', { request: request.requestId, database: request.database, reason: describeError(error) })
+      context.logger.debug('baseline position unavailable for transaction', { request: request.requestId, database: request.database, reason: describeError(error) })
       return undefined
     }
   }
 
-  /** The last part of the answer; `end` when the connection was lost. */
+  /** Sends the BEGIN and returns the last part of its response; `end` when it was not completed. */
   async #sendBegin (request: AcceptedRequest, lease: ConnectionLease): Promise<ResultPart> {
     let last: ResultPart = { kind: 'end' }
     try {
       for await (const part of runCancellable(this.#context, request, lease.connection, request.text)) last = part
       return last
     } catch (error) {
-      this.#context.logger.debug('transaction not opened', { request: request.requestId, reason: describeError(error) })
+      this.#context.logger.debug('BEGIN not completed', { request: request.requestId, reason: describeError(error) })
       return { kind: 'end' }
     }
   }
@@ -127,6 +135,7 @@
     return { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: id }
   }
 
+  /** Runs a statement in the transaction that the request names, including COMMIT and ROLLBACK. */
   async * run (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
     const transaction = findTransaction(this.#openTransactions, request.transactionId ?? '', request.sessionId, request.workspace)
     if (transaction === undefined) {
@@ -153,7 +162,7 @@
     }
   }
 
-  /** Yields the answer and returns whether the transaction has ended. */
+  /** Yields the response and returns whether the transaction has ended. */
   async * #runStatement (transaction: Transaction, request: AcceptedRequest): AsyncGenerator<AnswerFrame, boolean, void> {
     try {
       for await (const part of runCancellable(this.#context, request, transaction.lease.connection, request.text)) {
@@ -179,7 +188,7 @@
     return false
   }
 
-  /** An error that may have ended the transaction closes its connection, so that nothing runs outside of it. */
+  /** Yields an error, and closes the connection if the error may have ended the transaction, so that no later statement runs outside it. */
   async * #respondToError (transaction: Transaction, request: AcceptedRequest, part: FailedResultPart): AsyncGenerator<AnswerFrame, boolean, void> {
     const isEnd = request.class === 'commit' || request.class === 'rollback' || isTransactionEndError(part.errno)
     if (isEnd || isNotRunError(part.errno)) transaction.lease.connection.close()
@@ -191,7 +200,7 @@
     return isEnd
   }
 
-  /** What the transaction read or wrote must survive before its end is acknowledged. */
+  /** Acknowledges the end of a transaction only after everything it read or wrote is known to survive a change of primary. */
   async #confirmEnd (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): Promise<AnswerFrame> {
     const commitPosition = parseCommitInfo(header.info)
     const position = commitPosition === null
@@ -202,7 +211,7 @@
     return makeRefusal('outcomeUnknown', 'the commit was not confirmed by a second instance in time')
   }
 
-  /** Rolls back and gives the connection back; one that is running a statement is closed. */
+  /** Rolls the transaction back and releases its connection; a connection that is running a statement is closed instead. */
   abandon (id: string): void {
     const transaction = this.#openTransactions.get(id)
     if (transaction === undefined || transaction.isAbandoned) return
@@ -217,7 +226,7 @@
     try {
       for await (const part of transaction.lease.connection.runStatement('ROLLBACK', ROLLBACK_TIMEOUT_MS)) isRolledBack ||= part.kind === 'header'
     } catch (error) {
-      this.#context.logger.debug('rollback failed', { transaction: transaction.id, reason: describeError(error) })
+      this.#context.logger.debug('rollback of abandoned transaction failed', { transaction: transaction.id, reason: describeError(error) })
     }
     this.#endTransaction(transaction, isRolledBack)
   }
@@ -238,6 +247,7 @@
     }
   }
 
+  /** Ends all open transactions by closing their connections. */
   stop (): void {
     clearInterval(this.#idleCheckTimer)
     for (const transaction of [...this.#openTransactions.values()]) this.#endTransaction(transaction, false)
