--- a/packages/proxy/src/pool/decide-pool.test.ts
+++ b/packages/proxy/src/pool/decide-pool.test.ts
@@ -26,10 +26,15 @@
   #nowMs = 0
   #requestCount = 0
   #canCloseHeld = false
+  /** Connections that the pool has asked to open. */
   readonly opening: number[] = []
+  /** Connections that are granted and neither released nor closed. */
   readonly held = new Map<number, { isPinned: boolean }>()
+  /** Connections that the pool has asked to close. */
   readonly closing: number[] = []
+  /** Connections released as not reusable; they must not be granted again. */
   readonly doubtful = new Set<number>()
+  /** Ids of the waiting requests, with whether each needs a pinned connection. */
   readonly waiting = new Map<number, boolean>()
 
   constructor (decide: PoolDecision) {
@@ -53,13 +58,13 @@
       if (this.held.has(effect.connection)) expect(this.#canCloseHeld, 'a held connection is closed').to.equal(true)
       this.closing.push(effect.connection)
     }
-    if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one answer to a request').to.equal(true)
+    if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one grant or refusal for each request').to.equal(true)
     if (effect.type === 'grant') this.#grant(effect.waiter, effect.connection)
   }
 
   #grant (waiter: number, connection: number): void {
     const isPinned = this.waiting.get(waiter)
-    expect(isPinned, 'one answer to a request').to.be.a('boolean')
+    expect(isPinned, 'one grant or refusal for each request').to.be.a('boolean')
     this.waiting.delete(waiter)
     expect(this.held.has(connection), 'two holders of one connection').to.equal(false)
     expect(this.doubtful.has(connection), 'a connection in doubt is used again').to.equal(false)
--- a/packages/proxy/src/pool/endpoint-pools.ts
+++ b/packages/proxy/src/pool/endpoint-pools.ts
@@ -20,6 +20,7 @@
 interface PoolEntry {
   endpoint: Endpoint
   pool: InstancePool
+  /** Number of the instance's connections that this VM may open. */
   share: number
   reachability: Reachability
 }
--- a/packages/proxy/src/pool/instance-pool.ts
+++ b/packages/proxy/src/pool/instance-pool.ts
@@ -84,6 +84,7 @@
     this.#slice.tell({ type: 'cancel', waiter: waiterId })
   }
 
+  /** Applies new limits; closes idle connections above them, and refuses waiting requests when no connection is left. */
   setLimits (limits: PoolLimits): void {
     this.#slice.tell({ type: 'limits', limits })
   }
