--- a/packages/proxy/src/pool/decide-pool.test.ts
+++ b/packages/proxy/src/pool/decide-pool.test.ts
@@ -19,17 +19,22 @@
 )
 type Action = typeof actionArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-/** An endpoint and callers around one pool decision; throws where the pool breaks a rule. */
-class Host {
+/** Simulates the endpoint and the clients of a pool; an assertion fails when the pool breaks a connection rule. */
+class SimulatedHost {
   readonly #decide: PoolDecision
   #state = createPoolState(computePoolLimits(4, 2))
   #nowMs = 0
-  #requests = 0
-  #mayCut = false
+  #requestCount = 0
+  #canCloseHeld = false
+  /** Connections that the pool has asked to open. */
   readonly opening: number[] = []
+  /** Connections that are granted and neither released nor closed. */
   readonly held = new Map<number, { isPinned: boolean }>()
+  /** Connections that the pool has asked to close. */
   readonly closing: number[] = []
+  /** Connections released as not reusable; they must not be granted again. */
   readonly doubtful = new Set<number>()
+  /** Ids of the waiting requests, with whether each needs a pinned connection. */
   readonly waiting = new Map<number, boolean>()
 
   constructor (decide: PoolDecision) {
@@ -50,30 +55,30 @@
       this.opening.push(effect.connection)
     }
     if (effect.type === 'close') {
-      if (this.held.has(effect.connection)) expect(this.#mayCut, 'a held connection is cut').to.equal(true)
+      if (this.held.has(effect.connection)) expect(this.#canCloseHeld, 'a held connection is closed').to.equal(true)
       this.closing.push(effect.connection)
     }
-    if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one answer to a request').to.equal(true)
+    if (effect.type === 'refuse') expect(this.waiting.delete(effect.waiter), 'one grant or refusal for each request').to.equal(true)
     if (effect.type === 'grant') this.#grant(effect.waiter, effect.connection)
   }
 
   #grant (waiter: number, connection: number): void {
     const isPinned = this.waiting.get(waiter)
-    expect(isPinned, 'one answer to a request').to.be.a('boolean')
+    expect(isPinned, 'one grant or refusal for each request').to.be.a('boolean')
     this.waiting.delete(waiter)
     expect(this.held.has(connection), 'two holders of one connection').to.equal(false)
     expect(this.doubtful.has(connection), 'a connection in doubt is used again').to.equal(false)
     this.held.set(connection, { isPinned: isPinned! })
     const pinned = [...this.held.values()].filter(h => h.isPinned).length
     const { limits } = this.#state
-    if (isPinned) expect(pinned).to.be.at.most(limits.pinned)
+    if (isPinned) expect(pinned).to.be.at.most(limits.pinnedConnections)
     else expect(this.held.size - pinned).to.be.at.most(limits.statements)
   }
 
-  act (action: Action): void {
+  runAction (action: Action): void {
     switch (action.kind) {
       case 'acquire': {
-        const id = ++this.#requests
+        const id = ++this.#requestCount
         this.waiting.set(id, action.isPinned)
         this.tell({ type: 'acquire', waiter: { id, workspace: action.workspace, isPinned: action.isPinned, deadlineMs: this.#nowMs + action.waitMs } })
         return
@@ -90,9 +95,9 @@
       }
       case 'limits': return this.tell({ type: 'limits', limits: computePoolLimits(action.connections, 2) })
       case 'unreachable':
-        this.#mayCut = action.isReplaced
+        this.#canCloseHeld = action.isReplaced
         this.tell({ type: 'unreachable', isReplaced: action.isReplaced })
-        this.#mayCut = false
+        this.#canCloseHeld = false
         return
       case 'pass':
         this.#nowMs += action.ms
@@ -123,41 +128,41 @@
     this.tell({ type: 'closed', connection })
   }
 
-  /** A host that goes on answering serves everybody who waits, or refuses them. */
-  settle (): void {
+  /** Lets endpoint and clients respond normally, and checks that every waiting request is granted or refused. */
+  settleWaiters (): void {
     this.tell({ type: 'limits', limits: computePoolLimits(4, 2) })
     for (let i = 0; i < 2_000 && this.waiting.size > 0; i++) {
-      this.act({ kind: 'pass', ms: 5 })
+      this.runAction({ kind: 'pass', ms: 5 })
       this.#finishClosing(0)
       this.#finishOpening('ok')
       this.#release(0, true)
     }
-    expect(this.waiting.size, 'forgotten requests').to.equal(0)
+    expect(this.waiting.size, 'requests neither granted nor refused').to.equal(0)
   }
 }
 
-function checkPool (decide: PoolDecision): void {
+function checkConnectionRules (decide: PoolDecision): void {
   fc.assert(fc.property(fc.array(actionArbitrary, { maxLength: 120 }), actions => {
-    const host = new Host(decide)
-    for (const a of actions) host.act(a)
-    host.settle()
+    const host = new SimulatedHost(decide)
+    for (const a of actions) host.runAction(a)
+    host.settleWaiters()
   }), { numRuns: 1_000, seed: 11, includeErrorInReport: true })
 }
 
 describe('pool decision', () => {
-  it('keeps every rule of connections over 1,000 interleavings', () => checkPool(decidePool))
+  it('breaks no connection rule in 1,000 random sequences of events', () => checkConnectionRules(decidePool))
 
-  it('is told from a pool that reuses connections in doubt, and from one that ignores its share', () => {
-    const reusing: PoolDecision = (state, message, nowMs) =>
+  it('is checked with rules that reject a pool that reuses connections in doubt and a pool that exceeds its connection limit', () => {
+    const reusingInDoubt: PoolDecision = (state, message, nowMs) =>
       decidePool(state, message.type === 'released' ? { ...message, isReusable: true } : message, nowMs)
-    expect(() => checkPool(reusing)).to.throw('in doubt')
-    const greedy: PoolDecision = (state, message, nowMs) => {
+    expect(() => checkConnectionRules(reusingInDoubt)).to.throw('in doubt')
+    const exceedingLimit: PoolDecision = (state, message, nowMs) => {
       const { limits } = state
       state.limits = { ...limits, connections: limits.connections + 1 }
       const step = decidePool(state, message, nowMs)
       if (message.type !== 'limits') state.limits = limits
       return step
     }
-    expect(() => checkPool(greedy)).to.throw('connections to the instance')
+    expect(() => checkConnectionRules(exceedingLimit)).to.throw('connections to the instance')
   })
 })
--- a/packages/proxy/src/pool/endpoint-pools.ts
+++ b/packages/proxy/src/pool/endpoint-pools.ts
@@ -14,18 +14,20 @@
   logger: Logger
 }
 
+/** `replaced`: unreachable, and another instance is primary. */
 type Reachability = 'reachable' | 'unreachable' | 'replaced'
 
 interface PoolEntry {
   endpoint: Endpoint
   pool: InstancePool
+  /** Number of the instance's connections that this VM may open. */
   share: number
   reachability: Reachability
 }
 
 let poolCount = 0
 
-function describeLoss (group: GroupView, endpoint: string): 'unreachable' | 'replaced' {
+function classifyUnreachable (group: GroupView, endpoint: string): 'unreachable' | 'replaced' {
   const primary = group.findPrimary()
   return primary !== undefined && primary.endpoint.endpoint !== endpoint ? 'replaced' : 'unreachable'
 }
@@ -34,7 +36,7 @@
   return a.host === b.host && a.port === b.port
 }
 
-/** Keeps one connection pool for each instance of a database group; pools start when they are first used. */
+/** Keeps one connection pool for each instance of a database group; a pool is created when it is first used. */
 export class EndpointPools {
   readonly #options: EndpointPoolsOptions
   readonly #entries = new Map<string, PoolEntry>()
@@ -43,7 +45,7 @@
     this.#options = options
   }
 
-  /** The pool of an instance that belongs to the group; `undefined` for one that has left. */
+  /** Returns the pool of an instance, or `undefined` when the instance does not belong to the group. */
   findPool (name: string): InstancePool | undefined {
     const entry = this.#entries.get(name)
     if (entry !== undefined) return entry.pool
@@ -51,11 +53,12 @@
     return endpoint === undefined ? undefined : this.#addPool(endpoint).pool
   }
 
-  countOutstanding (name: string): number {
-    return this.#entries.get(name)?.pool.countOutstanding() ?? 0
+  /** Counts the requests to an instance that are waiting or hold a connection. */
+  countOutstandingRequests (name: string): number {
+    return this.#entries.get(name)?.pool.countOutstandingRequests() ?? 0
   }
 
-  /** Ends the pools of instances that have left the group or moved, and frees requests from unreachable ones. */
+  /** Stops the pools of instances that have left the group or changed address, and refuses the requests that wait for unreachable ones. */
   updateInstances (): void {
     if (this.#entries.size === 0) return
     const views = new Map(this.#options.group.listInstances().map(i => [i.endpoint.endpoint, i]))
@@ -66,9 +69,9 @@
     }
   }
 
-  /** Follows this VM's share of the instances' connections. */
-  updateShares (): void {
-    for (const entry of this.#entries.values()) this.#updateShare(entry)
+  /** Adjusts the pools to this VM's current share of each instance's connections. */
+  updateConnectionShares (): void {
+    for (const entry of this.#entries.values()) this.#updateConnectionShare(entry)
   }
 
   stop (): void {
@@ -76,14 +79,14 @@
     this.#entries.clear()
   }
 
-  #computeShare (endpoint: Endpoint): number {
+  #computeConnectionShare (endpoint: Endpoint): number {
     const { placement, database } = this.#options
     return placement.computeConnectionShare(database.database, endpoint.maxConnections)
   }
 
   #addPool (endpoint: Endpoint): PoolEntry {
     const { system, database, clock, logger } = this.#options
-    const share = this.#computeShare(endpoint)
+    const share = this.#computeConnectionShare(endpoint)
     const limits = computePoolLimits(share, endpoint.slots)
     const name = `pool-${database.database}-${endpoint.endpoint}-${++poolCount}`
     const pool = new InstancePool({ system, database, endpoint, limits, clock, logger, name })
@@ -92,8 +95,8 @@
     return entry
   }
 
-  #updateShare (entry: PoolEntry): void {
-    const share = this.#computeShare(entry.endpoint)
+  #updateConnectionShare (entry: PoolEntry): void {
+    const share = this.#computeConnectionShare(entry.endpoint)
     if (share === entry.share) return
     const { database, logger } = this.#options
     logger.info('connection share changed', { database: database.database, endpoint: entry.endpoint.endpoint, from: entry.share, to: share })
@@ -103,7 +106,7 @@
 
   #removePool (entry: PoolEntry): void {
     const { database, logger } = this.#options
-    logger.info('endpoint left', { database: database.database, endpoint: entry.endpoint.endpoint })
+    logger.info('endpoint left the group or changed address', { database: database.database, endpoint: entry.endpoint.endpoint })
     this.#entries.delete(entry.endpoint.endpoint)
     entry.pool.stopWhenIdle()
   }
@@ -111,10 +114,10 @@
   #updateReachability (entry: PoolEntry, isReachable: boolean): void {
     const { database, logger, group } = this.#options
     const { endpoint } = entry.endpoint
-    const next = isReachable ? 'reachable' : describeLoss(group, endpoint)
-    if (next === entry.reachability) return
-    entry.reachability = next
-    logger.info('endpoint reachability changed', { database: database.database, endpoint, reachability: next })
-    if (next !== 'reachable') entry.pool.handleUnreachable(next === 'replaced')
+    const reachability = isReachable ? 'reachable' : classifyUnreachable(group, endpoint)
+    if (reachability === entry.reachability) return
+    entry.reachability = reachability
+    logger.info('endpoint reachability changed', { database: database.database, endpoint, reachability })
+    if (reachability !== 'reachable') entry.pool.handleUnreachable(reachability === 'replaced')
   }
 }
