--- a/packages/proxy/src/membership/membership-actor.ts
+++ b/packages/proxy/src/membership/membership-actor.ts
@@ -7,9 +7,9 @@
 
 const SLICE = 'membership'
 /** Time that peers are given to hear that this VM leaves. */
-const LEAVE_NOTICE_MS = 4 * TICK_INTERVAL_MS
-const JOIN_LIMIT_MS = 5_000
-const JOIN_CHECK_MS = 20
+const LEAVE_PROPAGATION_MS = 4 * TICK_INTERVAL_MS
+const JOIN_TIMEOUT_MS = 5_000
+const JOIN_CHECK_INTERVAL_MS = 20
 
 export interface MembershipOptions {
   system: ActorSystemRef
@@ -50,11 +50,11 @@
   readonly #timer: NodeJS.Timeout
   /** Members as of the last change; `null` when they must be listed anew. */
   #members: readonly Member[] | null = null
-  #byVm: Map<string, Member> | null = null
+  #membersByVm: Map<string, Member> | null = null
   #isTickPending = false
   #isPolling = false
   /** The list shows no other VM. */
-  #isAlone = false
+  #isOnlyListedVm = false
 
   constructor (options: MembershipOptions) {
     super()
@@ -69,7 +69,7 @@
       decide: (state: MembershipState, input: MembershipInput, nowMs: number) => this.#decide(state, input, nowMs),
       runEffect: effect => this.#runEffect(effect)
     })
-    peers.subscribe(SLICE, (from, body) => this.#receive(from.vm, body))
+    peers.subscribe(SLICE, (from, body) => this.#handleMessage(from.vm, body))
     peers.subscribeLoss(vm => this.#slice.tell({ type: 'linkLost', vm }))
     this.#timer = setInterval(() => this.#tellTick(), TICK_INTERVAL_MS)
     this.#tellTick()
@@ -81,8 +81,8 @@
   }
 
   override findMember (vm: string): Member | undefined {
-    this.#byVm ??= new Map(this.listMembers().map(m => [m.vm, m]))
-    return this.#byVm.get(vm)
+    this.#membersByVm ??= new Map(this.listMembers().map(m => [m.vm, m]))
+    return this.#membersByVm.get(vm)
   }
 
   override subscribe (listener: () => void): void {
@@ -92,18 +92,18 @@
   override async leave (): Promise<void> {
     this.#slice.tell({ type: 'leave' })
     if (this.listMembers().length === 1) return
-    await new Promise(resolve => setTimeout(resolve, LEAVE_NOTICE_MS))
+    await new Promise(resolve => setTimeout(resolve, LEAVE_PROPAGATION_MS))
   }
 
   override async waitJoined (): Promise<void> {
     const { clock, logger, self } = this.#options
-    const deadlineMs = clock.readNow() + JOIN_LIMIT_MS
-    while (!this.#slice.readState().hasSynced && !this.#isAlone) {
+    const deadlineMs = clock.readNow() + JOIN_TIMEOUT_MS
+    while (!this.#slice.readState().hasSynced && !this.#isOnlyListedVm) {
       if (clock.readNow() > deadlineMs) {
         logger.warn('joined no other member in time', { vm: self.vm })
         return
       }
-      await new Promise(resolve => setTimeout(resolve, JOIN_CHECK_MS))
+      await new Promise(resolve => setTimeout(resolve, JOIN_CHECK_INTERVAL_MS))
     }
   }
 
@@ -124,7 +124,7 @@
     return decideMembership(state, input, nowMs)
   }
 
-  #receive (from: string, body: unknown): void {
+  #handleMessage (from: string, body: unknown): void {
     const message = membershipMessageSchema.safeParse(body)
     if (message.success) this.#slice.tell({ type: 'received', from, body: message.data })
     else this.#options.logger.warn('malformed membership message', { from })
@@ -136,7 +136,7 @@
         this.#send(effect)
         break
       case 'poll':
-        this.#poll()
+        this.#pollVmList()
         break
       case 'changed':
         this.#recordChange(effect.member, effect.reason)
@@ -155,22 +155,22 @@
 
   #recordChange (member: Member, reason: string): void {
     this.#members = null
-    this.#byVm = null
+    this.#membersByVm = null
     const { vm, state, incarnation } = member
     this.#options.logger.info('member changed', { vm, state, incarnation, reason })
   }
 
-  async #poll (): Promise<void> {
+  async #pollVmList (): Promise<void> {
     if (this.#isPolling) return
     this.#isPolling = true
-    const vms = await this.#readList()
+    const vms = await this.#fetchVmList()
     this.#isPolling = false
     if (vms === null) return
-    this.#isAlone = vms.every(v => v.vm === this.#options.self.vm)
+    this.#isOnlyListedVm = vms.every(v => v.vm === this.#options.self.vm)
     this.#slice.tell({ type: 'listed', vms })
   }
 
-  async #readList (): Promise<Vm[] | null> {
+  async #fetchVmList (): Promise<Vm[] | null> {
     try {
       return (await this.#options.objectClient.listVms()).vms
     } catch (error) {
--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import type { DecideMembership } from './virtual-fleet.ts'
 import { FIRST_INCARNATION, VirtualFleet } from './virtual-fleet.ts'
-import { computeSuspicionMs, CONFIRMATIONS } from './probes.ts'
+import { computeMinSuspicionMs, REQUIRED_CONFIRMATIONS } from './probes.ts'
 import { decideMembership } from './decision.ts'
 
-const JOIN_MS = 8_000
+const JOIN_DURATION_MS = 8_000
 
 function startFleet (seed: number, size: number, options: { loss?: number, decide?: DecideMembership } = {}): VirtualFleet {
   const fleet = new VirtualFleet({ size, seed, ...options })
-  fleet.run(JOIN_MS)
+  fleet.run(JOIN_DURATION_MS)
   return fleet
 }
 
@@ -19,7 +19,7 @@
   return fleet.nowMs - startMs
 }
 
-function readIndex (vm: string): number {
+function parseVmIndex (vm: string): number {
   return Number(vm.slice('vm-'.length))
 }
 
@@ -63,8 +63,8 @@
       const fleet = startFleet(seed, size, { loss: (seed % 3) * 0.1 })
       fleet.stopVm('vm-0')
       const boundMs = 2 * 20_000
-      const tookMs = runUntil(fleet, boundMs, () => fleet.listObserversOf('vm-0').length === 0)
-      expect(fleet.listObserversOf('vm-0'), `seed ${seed}, after ${tookMs} ms`).to.deep.equal([])
+      const elapsedMs = runUntil(fleet, boundMs, () => fleet.listObserversOf('vm-0').length === 0)
+      expect(fleet.listObserversOf('vm-0'), `seed ${seed}, after ${elapsedMs} ms`).to.deep.equal([])
       expect(fleet.deaths.filter(d => d.isRunning), `seed ${seed}`).to.deep.equal([])
     }
   })
@@ -73,27 +73,27 @@
     for (let seed = 1; seed <= 400; seed++) {
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size)
-      bringFaults(fleet, size)
+      injectFaults(fleet, size)
       fleet.loss = 0
       fleet.cut(null)
-      const tookMs = runUntil(fleet, 90_000, () => fleet.hasConverged())
-      expect(fleet.hasConverged(), `seed ${seed}, after ${tookMs} ms`).to.equal(true)
-      expect(fleet.regressions, `seed ${seed}`).to.deep.equal([])
+      const elapsedMs = runUntil(fleet, 90_000, () => fleet.hasConverged())
+      expect(fleet.hasConverged(), `seed ${seed}, after ${elapsedMs} ms`).to.equal(true)
+      expect(fleet.incarnationRegressions, `seed ${seed}`).to.deep.equal([])
     }
   })
 })
 
 /** Twelve seeded faults, one after the other. */
-function bringFaults (fleet: VirtualFleet, size: number): void {
+function injectFaults (fleet: VirtualFleet, size: number): void {
   for (let i = 0; i < 12; i++) {
     const vm = `vm-${Math.floor(fleet.pickRandom() * size)}`
-    const parts = 2 + Math.floor(fleet.pickRandom() * 2)
+    const sideCount = 2 + Math.floor(fleet.pickRandom() * 2)
     const faults = [
       () => fleet.pauseVm(vm, 500 + fleet.pickRandom() * 15_000),
       () => { fleet.stopVm(vm) },
       () => { fleet.startVm(vm) },
       () => { fleet.loss = fleet.pickRandom() * 0.5 },
-      () => { fleet.cut(other => readIndex(other) % parts) },
+      () => { fleet.cut(other => parseVmIndex(other) % sideCount) },
       () => { fleet.cut(null) }
     ]
     faults[Math.floor(fleet.pickRandom() * faults.length)]!()
@@ -138,9 +138,9 @@
 
   it('does not hold the others for dead when a group that was cut off returns', () => {
     const fleet = startFleet(5, 12)
-    fleet.cut(vm => Number(readIndex(vm) < CONFIRMATIONS))
+    fleet.cut(vm => Number(parseVmIndex(vm) < REQUIRED_CONFIRMATIONS))
     fleet.run(60_000)
-    expect(fleet.readView('vm-0').size).to.equal(CONFIRMATIONS)
+    expect(fleet.readView('vm-0').size).to.equal(REQUIRED_CONFIRMATIONS)
     const before = fleet.deaths.length
     fleet.cut(null)
     runUntil(fleet, 60_000, () => fleet.hasConverged())
@@ -150,7 +150,7 @@
 
   it('lets a group of three of nine that is cut off agree on the others before suspicions lapse', () => {
     const fleet = startFleet(9, 9)
-    fleet.cut(vm => Number(readIndex(vm) % 3 === 0))
+    fleet.cut(vm => Number(parseVmIndex(vm) % 3 === 0))
     runUntil(fleet, 20_000, () => fleet.readView('vm-0').size === 3 && fleet.readView('vm-1').size === 6)
     expect(fleet.readView('vm-0').size).to.equal(3)
     expect(fleet.readView('vm-1').size).to.equal(6)
@@ -173,6 +173,6 @@
     fleet.removeFromList('vm-1')
     fleet.run(900_000)
     expect(fleet.hasConverged()).to.equal(true)
-    expect(computeSuspicionMs(5)).to.equal(1_500)
+    expect(computeMinSuspicionMs(5)).to.equal(1_500)
   })
 })
--- a/packages/proxy/src/membership/placement-actor.ts
+++ b/packages/proxy/src/membership/placement-actor.ts
@@ -3,7 +3,7 @@
 import { listPlaceable, type MembershipView } from './membership-view.ts'
 import { PlacementView } from './placement-view.ts'
 import { PlacementTable } from './placement-table.ts'
-import { compareNearness, computeShare, type Candidate } from './placement.ts'
+import { createNearnessComparator, computeStatementConnections, type Candidate } from './placement.ts'
 
 export interface PlacementOptions {
   membership: MembershipView
@@ -27,10 +27,10 @@
   readonly #listeners: Array<() => void> = []
   readonly #table = new PlacementTable()
   /** Serving VMs by database, the nearest first. */
-  readonly #nearest = new Map<string, readonly string[]>()
+  readonly #servingVmsByNearness = new Map<string, readonly string[]>()
   /** Serving VMs by database, in the order of the hash. */
-  readonly #rankings = new Map<string, readonly string[]>()
-  #served: readonly string[] = []
+  readonly #servingVmsByRank = new Map<string, readonly string[]>()
+  #servedDatabases: readonly string[] = []
 
   constructor (options: PlacementOptions) {
     super()
@@ -44,11 +44,11 @@
   }
 
   override listRanking (database: string): readonly string[] {
-    return this.#rankings.get(database) ?? []
+    return this.#servingVmsByRank.get(database) ?? []
   }
 
   override listServingVms (database: string): readonly string[] {
-    return this.#nearest.get(database) ?? []
+    return this.#servingVmsByNearness.get(database) ?? []
   }
 
   override isServing (database: string): boolean {
@@ -56,11 +56,11 @@
   }
 
   override listServedDatabases (): readonly string[] {
-    return this.#served
+    return this.#servedDatabases
   }
 
   override computeConnectionShare (_database: string, maxConnections: number): number {
-    return computeShare(maxConnections)
+    return computeStatementConnections(maxConnections)
   }
 
   override subscribe (listener: () => void): void {
@@ -79,19 +79,19 @@
 
   #publish (changed: readonly string[], reason: string): void {
     if (changed.length === 0) return
-    for (const database of changed) this.#replaceServing(database, reason)
-    this.#served = this.#table.listDatabases().filter(d => this.isServing(d))
+    for (const database of changed) this.#updateServingVms(database, reason)
+    this.#servedDatabases = this.#table.listDatabases().filter(d => this.isServing(d))
     for (const listener of this.#listeners) listener()
   }
 
   /** Logs one line where this VM begins or ceases to serve the database; other changes at debug level. */
-  #replaceServing (database: string, reason: string): void {
+  #updateServingVms (database: string, reason: string): void {
     const { logger, self } = this.#options
     const wasServing = this.isServing(database)
     const selected = this.#table.listSelected(database)
-    const servingVms = [...selected].sort(compareNearness(self, database)).map(c => c.vm)
-    this.#rankings.set(database, selected.map(c => c.vm))
-    this.#nearest.set(database, servingVms)
+    const servingVms = [...selected].sort(createNearnessComparator(self, database)).map(c => c.vm)
+    this.#servingVmsByRank.set(database, selected.map(c => c.vm))
+    this.#servingVmsByNearness.set(database, servingVms)
     const isServing = this.isServing(database)
     logger.log(isServing === wasServing ? 'debug' : 'info', 'database placed', { database, servingVms, isServing, reason })
   }
--- a/packages/proxy/src/membership/placement-table.ts
+++ b/packages/proxy/src/membership/placement-table.ts
@@ -1,5 +1,5 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
-import { hashCandidates, selectFromHashed, SERVING_VM_COUNT, type Candidate, type HashedCandidate } from './placement.ts'
+import { hashCandidates, selectFromHashedCandidates, SERVING_VM_COUNT, type Candidate, type HashedCandidate } from './placement.ts'
 
 /** A database to place, with the regions of its endpoints. */
 export interface PlacedDatabase {
@@ -7,7 +7,7 @@
   regions: readonly string[]
 }
 
-interface Entry extends PlacedDatabase {
+interface PlacementEntry extends PlacedDatabase {
   key: number
   /** In the order of the hash. */
   selected: readonly Candidate[]
@@ -20,19 +20,19 @@
  */
 export class PlacementTable {
   readonly #members = new Map<string, HashedCandidate>()
-  readonly #entries = new Map<string, Entry>()
+  readonly #entries = new Map<string, PlacementEntry>()
 
   /** Takes the members that may serve; returns the databases whose serving VMs changed. */
   replaceMembers (members: readonly Candidate[]): string[] {
     const current = new Map(hashCandidates(members).map(m => [m.candidate.vm, m]))
-    const gone = [...this.#members.values()].filter(m => current.get(m.candidate.vm)?.place !== m.place)
-    const fresh = [...current.values()].filter(m => this.#members.get(m.candidate.vm)?.place !== m.place)
-    if (gone.length === 0 && fresh.length === 0) return []
-    for (const m of gone) this.#members.delete(m.candidate.vm)
-    for (const m of fresh) this.#members.set(m.candidate.vm, m)
-    const goneVms = new Set(gone.map(m => m.candidate.vm))
-    const affected = [...this.#entries.values()].filter(e => isAffected(e, goneVms, fresh))
-    return this.#computeAnew(affected)
+    const removed = [...this.#members.values()].filter(m => current.get(m.candidate.vm)?.location !== m.location)
+    const added = [...current.values()].filter(m => this.#members.get(m.candidate.vm)?.location !== m.location)
+    if (removed.length === 0 && added.length === 0) return []
+    for (const m of removed) this.#members.delete(m.candidate.vm)
+    for (const m of added) this.#members.set(m.candidate.vm, m)
+    const removedVms = new Set(removed.map(m => m.candidate.vm))
+    const affected = [...this.#entries.values()].filter(e => isAffected(e, removedVms, added))
+    return this.#updateSelections(affected)
   }
 
   /** Takes the databases to place; returns those whose serving VMs changed, dropped ones included. */
@@ -40,15 +40,15 @@
     const wanted = new Map(databases.map(d => [d.database, d]))
     const dropped = [...this.#entries.keys()].filter(name => !wanted.has(name))
     for (const name of dropped) this.#entries.delete(name)
-    const changed: Entry[] = []
+    const changed: PlacementEntry[] = []
     for (const d of databases) {
       const entry = this.#entries.get(d.database)
       if (entry !== undefined && entry.regions.join() === d.regions.join()) continue
-      const fresh = { ...d, key: hashName(d.database), selected: entry?.selected ?? [] }
-      this.#entries.set(d.database, fresh)
-      changed.push(fresh)
+      const updatedEntry = { ...d, key: hashName(d.database), selected: entry?.selected ?? [] }
+      this.#entries.set(d.database, updatedEntry)
+      changed.push(updatedEntry)
     }
-    return [...dropped, ...this.#computeAnew(changed)]
+    return [...dropped, ...this.#updateSelections(changed)]
   }
 
   /** Serving VMs in the order of the hash; none for an unknown database. */
@@ -60,26 +60,26 @@
     return [...this.#entries.keys()]
   }
 
-  #computeAnew (entries: readonly Entry[]): string[] {
+  #updateSelections (entries: readonly PlacementEntry[]): string[] {
     const members = [...this.#members.values()]
     return entries.filter(entry => {
-      const before = entry.selected
-      entry.selected = selectFromHashed(entry.database, members, { regions: entry.regions })
-      return !hasSameVms(before, entry.selected)
+      const previous = entry.selected
+      entry.selected = selectFromHashedCandidates(entry.database, members, { regions: entry.regions })
+      return !hasSameVms(previous, entry.selected)
     }).map(e => e.database)
   }
 }
 
-function isAffected (entry: Entry, gone: ReadonlySet<string>, fresh: readonly HashedCandidate[]): boolean {
-  if (entry.selected.some(c => gone.has(c.vm))) return true
-  if (fresh.length === 0) return false
-  if (!isSpread(entry)) return true
-  const lowest = Math.min(...entry.selected.map(c => hashPair(entry.key, hashName(c.vm))))
-  return fresh.some(m => hashPair(entry.key, m.hash) >= lowest)
+function isAffected (entry: PlacementEntry, removedVms: ReadonlySet<string>, added: readonly HashedCandidate[]): boolean {
+  if (entry.selected.some(c => removedVms.has(c.vm))) return true
+  if (added.length === 0) return false
+  if (!isFullySpread(entry)) return true
+  const lowestWeight = Math.min(...entry.selected.map(c => hashPair(entry.key, hashName(c.vm))))
+  return added.some(m => hashPair(entry.key, m.hash) >= lowestWeight)
 }
 
 /** Whether only a VM of a higher weight can still enter: enough VMs, each in a wanted region of its own. */
-function isSpread ({ selected, regions }: Entry): boolean {
+function isFullySpread ({ selected, regions }: PlacementEntry): boolean {
   if (selected.length < SERVING_VM_COUNT) return false
   if (new Set(selected.map(c => c.region)).size < selected.length) return false
   return regions.length === 0 || selected.every(c => regions.includes(c.region))
--- a/packages/proxy/src/membership/placement.test.ts
+++ b/packages/proxy/src/membership/placement.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { computeShare, CONTROL_CONNECTIONS, selectServingVms, SERVING_VM_COUNT, type Candidate } from './placement.ts'
+import { computeStatementConnections, CONTROL_CONNECTIONS_PER_VM, selectServingVms, SERVING_VM_COUNT, type Candidate } from './placement.ts'
 
 const SEED = 4_711
 
@@ -74,11 +74,11 @@
 describe('computeShare', () => {
   it('leaves room for control connections and one VM more than serve', () => {
     for (let max = 12; max <= 200; max++) {
-      const perVm = computeShare(max) + CONTROL_CONNECTIONS
+      const perVm = computeStatementConnections(max) + CONTROL_CONNECTIONS_PER_VM
       expect(perVm * (SERVING_VM_COUNT + 1)).to.be.at.most(max)
     }
-    expect(computeShare(20)).to.equal(3)
-    expect(computeShare(45)).to.equal(9)
-    expect(computeShare(3)).to.equal(1)
+    expect(computeStatementConnections(20)).to.equal(3)
+    expect(computeStatementConnections(45)).to.equal(9)
+    expect(computeStatementConnections(3)).to.equal(1)
   })
 })
--- a/packages/proxy/src/membership/placement.ts
+++ b/packages/proxy/src/membership/placement.ts
@@ -17,7 +17,7 @@
 /** VMs that serve one database. */
 export const SERVING_VM_COUNT = 3
 /** Connections per serving VM and instance that probe and steer the group. */
-export const CONTROL_CONNECTIONS = 2
+export const CONTROL_CONNECTIONS_PER_VM = 2
 /** VMs beyond `SERVING_VM_COUNT` that may hold connections while a database changes hands. */
 export const HANDOVER_VM_COUNT = 1
 
@@ -31,19 +31,19 @@
  * @example selectServingVms('orders', members, { count: 3 }) // ['vm-4', 'vm-1', 'vm-9']
  */
 export function selectServingVms (database: string, members: readonly Candidate[], options: SelectOptions = {}): string[] {
-  return selectFromHashed(database, hashCandidates(members), options).map(c => c.vm)
+  return selectFromHashedCandidates(database, hashCandidates(members), options).map(c => c.vm)
 }
 
 /** As `selectServingVms`, for members that were hashed before. */
-export function selectFromHashed (database: string, members: readonly HashedCandidate[], options: SelectOptions = {}): Candidate[] {
+export function selectFromHashedCandidates (database: string, members: readonly HashedCandidate[], options: SelectOptions = {}): Candidate[] {
   const { count = SERVING_VM_COUNT, regions = [] } = options
-  const ranked = compareCandidates(database, members, count)
-  const near = ranked.filter(c => regions.includes(c.region))
+  const ranked = rankCandidates(database, members, count)
+  const inWantedRegions = ranked.filter(c => regions.includes(c.region))
   const selected: Candidate[] = []
-  for (const pool of [near, ranked]) {
-    addSpread(selected, pool, count, c => c.region)
-    addSpread(selected, pool, count, c => c.failureDomain)
-    addSpread(selected, pool, count, c => c.vm)
+  for (const pool of [inWantedRegions, ranked]) {
+    addDistinct(selected, pool, count, c => c.region)
+    addDistinct(selected, pool, count, c => c.failureDomain)
+    addDistinct(selected, pool, count, c => c.vm)
   }
   return selected
 }
@@ -53,14 +53,14 @@
   candidate: Candidate
   hash: number
   /** Region and failure domain. */
-  place: string
+  location: string
 }
 
 export function hashCandidates (members: readonly Candidate[]): HashedCandidate[] {
-  return members.map(candidate => ({ candidate, hash: hashName(candidate.vm), place: `${candidate.region}/${candidate.failureDomain}` }))
+  return members.map(candidate => ({ candidate, hash: hashName(candidate.vm), location: `${candidate.region}/${candidate.failureDomain}` }))
 }
 
-interface Ranked {
+interface RankedCandidate {
   candidate: Candidate
   weight: number
 }
@@ -70,37 +70,37 @@
  *
  * At most `count` are taken from one place, so more than its `count` best need not be ordered.
  */
-function compareCandidates (database: string, members: readonly HashedCandidate[], count: number): Candidate[] {
+function rankCandidates (database: string, members: readonly HashedCandidate[], count: number): Candidate[] {
   const key = hashName(database)
-  const best = new Map<string, Ranked[]>()
-  for (const { candidate, hash, place } of members) {
+  const bestByLocation = new Map<string, RankedCandidate[]>()
+  for (const { candidate, hash, location } of members) {
     const ranked = { candidate, weight: hashPair(key, hash) }
-    const list = best.get(place)
-    if (list === undefined) best.set(place, [ranked])
-    else addRanked(list, ranked, count)
+    const list = bestByLocation.get(location)
+    if (list === undefined) bestByLocation.set(location, [ranked])
+    else insertRanked(list, ranked, count)
   }
-  return [...best.values()].flat().sort(compareRanked).map(r => r.candidate)
+  return [...bestByLocation.values()].flat().sort(compareRanked).map(r => r.candidate)
 }
 
 /** Adds to an ordered list of at most `count`. */
-function addRanked (list: Ranked[], ranked: Ranked, count: number): void {
-  if (list.length >= count && compareRanked(list.at(-1)!, ranked) < 0) return
-  const place = list.findIndex(r => compareRanked(ranked, r) < 0)
-  list.splice(place === -1 ? list.length : place, 0, ranked)
-  if (list.length > count) list.pop()
+function insertRanked (rankedList: RankedCandidate[], ranked: RankedCandidate, count: number): void {
+  if (rankedList.length >= count && compareRanked(rankedList.at(-1)!, ranked) < 0) return
+  const index = rankedList.findIndex(r => compareRanked(ranked, r) < 0)
+  rankedList.splice(index === -1 ? rankedList.length : index, 0, ranked)
+  if (rankedList.length > count) rankedList.pop()
 }
 
-function compareRanked (a: Ranked, b: Ranked): number {
+function compareRanked (a: RankedCandidate, b: RankedCandidate): number {
   return b.weight - a.weight || compareNames(a.candidate.vm, b.candidate.vm)
 }
 
 /** Adds the best candidates whose `readGroup` none of the selected shares, up to `count`. */
-function addSpread (selected: Candidate[], ranked: readonly Candidate[], count: number, readGroup: (c: Candidate) => string): void {
-  const taken = new Set(selected.map(readGroup))
+function addDistinct (selected: Candidate[], ranked: readonly Candidate[], count: number, readKey: (c: Candidate) => string): void {
+  const takenKeys = new Set(selected.map(readKey))
   for (const c of ranked) {
     if (selected.length >= count) return
-    if (taken.has(readGroup(c))) continue
-    taken.add(readGroup(c))
+    if (takenKeys.has(readKey(c))) continue
+    takenKeys.add(readKey(c))
     selected.push(c)
   }
 }
@@ -113,7 +113,7 @@
  * Orders serving VMs for one VM that sends to them: itself, then its failure domain, its region, the
  * others. Equally near ones are ordered by a hash of the pair, so that senders spread.
  */
-export function compareNearness (self: Candidate, database: string): (a: Candidate, b: Candidate) => number {
+export function createNearnessComparator (self: Candidate, database: string): (a: Candidate, b: Candidate) => number {
   const key = hashName(`${self.vm}/${database}`)
   return (a, b) => computeDistance(self, a) - computeDistance(self, b) ||
     hashPair(key, hashName(b.vm)) - hashPair(key, hashName(a.vm))
@@ -134,7 +134,7 @@
  *
  * @example computeShare(20) // 3
  */
-export function computeShare (maxConnections: number): number {
+export function computeStatementConnections (maxConnections: number): number {
   const perVm = Math.floor(maxConnections / (SERVING_VM_COUNT + HANDOVER_VM_COUNT))
-  return Math.max(1, perVm - CONTROL_CONNECTIONS)
+  return Math.max(1, perVm - CONTROL_CONNECTIONS_PER_VM)
 }
--- a/packages/proxy/src/membership/probes.ts
+++ b/packages/proxy/src/membership/probes.ts
@@ -2,7 +2,7 @@
 import { isPredecessor, listSuccessors } from './ring.ts'
 import { pickMembers, readRing, type MemberRecord, type Probe } from './state.ts'
 import { computeDigest } from './sync.ts'
-import { addAccusers, confirmDeath, dropSuspicion, listNews, recordNews, type Round } from './updates.ts'
+import { addAccusers, confirmDeath, dropSuspicion, selectUpdatesFor, scheduleGossip, type DecisionContext } from './updates.ts'
 
 /** Time between the starts of regular probes. */
 export const ROUND_INTERVAL_MS = 1_000
@@ -13,89 +13,89 @@
 /** Attempts before others are asked to help. */
 const DIRECT_ATTEMPTS = 2
 /** Members asked to help with each later attempt. */
-const HELPERS = 3
+const RELAY_COUNT = 3
 /** Members after this VM on the ring that it probes in each round. */
 export const PROBED_SUCCESSORS = 2
 /** Members before a suspect on the ring that probe it when they hear of the suspicion. */
-const CONFIRMERS = 4
+const CONFIRMER_COUNT = 4
 /** Accusers needed to confirm a death, where so many members are left. */
-export const CONFIRMATIONS = 3
+export const REQUIRED_CONFIRMATIONS = 3
 /** Suspicion lasts this long for each power of ten in the fleet, so that the suspect can refute it. */
-const SUSPICION_PER_DECADE_MS = 1_500
+const MIN_SUSPICION_PER_DECADE_MS = 1_500
 /** A suspicion that nobody confirms ends after this time. */
-const SUSPICION_LIMIT_MS = 20_000
+const MAX_UNCONFIRMED_SUSPICION_MS = 20_000
 /** Rounds between probes of a random member. */
-const RANDOM_PROBE_ROUNDS = 5
-const MAX_PROBES = 16
+const RANDOM_PROBE_INTERVAL_ROUNDS = 5
+const MAX_PROBES_IN_FLIGHT = 16
 
 /** Begins the probes of one round. */
-export function startRound (round: Round): void {
-  const { state } = round
-  state.rounds += 1
-  for (const m of listRegularTargets(round)) startProbe(round, m, false)
-  probeClaimed(round)
-  for (const vm of state.suspected) probeSuspect(round, state.members.get(vm)!)
-  const dead = [...state.dead].map(vm => state.members.get(vm)!)
-  const [lost] = pickMembers(state, dead, 1, () => true)
-  if (lost !== undefined) sendPing(round, lost, state.sequence += 1, true)
-  if (state.rounds % RANDOM_PROBE_ROUNDS !== 0) return
-  const [random] = pickMembers(state, readRing(state), 1, () => true)
-  if (random !== undefined) startProbe(round, random, true)
+export function startRound (context: DecisionContext): void {
+  const { state } = context
+  state.roundCount += 1
+  for (const m of listRegularTargets(context)) startProbe(context, m, false)
+  probeReportedDead(context)
+  for (const vm of state.suspected) probeSuspect(context, state.members.get(vm)!)
+  const deadMembers = [...state.dead].map(vm => state.members.get(vm)!)
+  const [deadMember] = pickMembers(state, deadMembers, 1, () => true)
+  if (deadMember !== undefined) sendPing(context, deadMember, state.sequence += 1, true)
+  if (state.roundCount % RANDOM_PROBE_INTERVAL_ROUNDS !== 0) return
+  const [randomMember] = pickMembers(state, readRing(state), 1, () => true)
+  if (randomMember !== undefined) startProbe(context, randomMember, true)
 }
 
 /** Probes members that others hold for dead, as many as there is room for in this round. */
-function probeClaimed (round: Round): void {
-  const { state } = round
-  for (const vm of state.claimed) {
+function probeReportedDead (context: DecisionContext): void {
+  const { state } = context
+  for (const vm of state.reportedDead) {
     const record = state.members.get(vm)
-    if (record === undefined || record.claimedAccusers.length === 0) state.claimed.delete(vm)
-    else startProbe(round, record, false)
+    if (record === undefined || record.reportedAccusers.length === 0) state.reportedDead.delete(vm)
+    else startProbe(context, record, false)
   }
 }
 
 /** The next members on the ring that are not suspected, and those that this VM suspects itself. */
-export function listRegularTargets ({ state }: Round): MemberRecord[] {
-  const next = listSuccessors(readRing(state), state.self.hash, PROBED_SUCCESSORS, m => m.accusers.length === 0)
-  const accused = [...state.suspected]
+export function listRegularTargets ({ state }: DecisionContext): MemberRecord[] {
+  const successors = listSuccessors(readRing(state), state.self.hash, PROBED_SUCCESSORS, m => m.accusers.length === 0)
+  const suspectedHere = [...state.suspected]
     .map(vm => state.members.get(vm)!)
     .filter(m => m.accusers.includes(state.self.vm))
-  return [...next, ...accused]
+  return [...successors, ...suspectedHere]
 }
 
-export function startProbe (round: Round, target: MemberRecord, withDigest: boolean): void {
-  const { state, nowMs } = round
-  if (state.probes.has(target.vm) || state.probes.size >= MAX_PROBES) return
-  const probe: Probe = { vm: target.vm, sequence: state.sequence += 1, startedAtMs: nowMs, attempts: 0, withDigest }
+export function startProbe (context: DecisionContext, target: MemberRecord, hasDigest: boolean): void {
+  const { state, nowMs } = context
+  if (state.probes.has(target.vm) || state.probes.size >= MAX_PROBES_IN_FLIGHT) return
+  const probe: Probe = { vm: target.vm, sequence: state.sequence += 1, startedAtMs: nowMs, attempts: 0, hasDigest }
   state.probes.set(target.vm, probe)
-  retryProbe(round, probe, target)
+  sendProbeAttempt(context, probe, target)
 }
 
-function retryProbe (round: Round, probe: Probe, target: MemberRecord): void {
-  const { state } = round
+function sendProbeAttempt (context: DecisionContext, probe: Probe, target: MemberRecord): void {
+  const { state } = context
   probe.attempts += 1
-  sendPing(round, target, probe.sequence, probe.withDigest)
+  sendPing(context, target, probe.sequence, probe.hasDigest)
   if (probe.attempts <= DIRECT_ATTEMPTS) return
-  const helpers = pickMembers(state, readRing(state), HELPERS, m => m !== target && m.accusers.length === 0)
-  for (const to of helpers) {
-    round.effects.push({ type: 'send', to, body: { type: 'relay', sequence: probe.sequence, vm: target.vm, updates: listNews(state, to.vm) } })
+  const relayMembers = pickMembers(state, readRing(state), RELAY_COUNT, m => m !== target && m.accusers.length === 0)
+  for (const to of relayMembers) {
+    context.effects.push({ type: 'send', to, body: { type: 'relay', sequence: probe.sequence, vm: target.vm, updates: selectUpdatesFor(state, to.vm) } })
   }
 }
 
-function sendPing (round: Round, to: MemberRecord, sequence: number, withDigest: boolean): void {
-  const { state, effects } = round
-  const digest = withDigest ? { digest: computeDigest(state) } : {}
-  effects.push({ type: 'send', to, body: { type: 'ping', sequence, updates: listNews(state, to.vm), ...digest } })
+function sendPing (context: DecisionContext, to: MemberRecord, sequence: number, hasDigest: boolean): void {
+  const { state, effects } = context
+  const digest = hasDigest ? { digest: computeDigest(state) } : {}
+  effects.push({ type: 'send', to, body: { type: 'ping', sequence, updates: selectUpdatesFor(state, to.vm), ...digest } })
 }
 
 /** Retries or ends the probes in flight. */
-export function retryProbes (round: Round): void {
-  const { state, nowMs } = round
+export function advanceProbes (context: DecisionContext): void {
+  const { state, nowMs } = context
   for (const probe of [...state.probes.values()]) {
     const target = state.members.get(probe.vm)
     const ageMs = nowMs - probe.startedAtMs
     if (target === undefined) state.probes.delete(probe.vm)
-    else if (ageMs >= PROBE_TIMEOUT_MS) handleProbeFailure(round, target)
-    else if (ageMs >= probe.attempts * ATTEMPT_INTERVAL_MS) retryProbe(round, probe, target)
+    else if (ageMs >= PROBE_TIMEOUT_MS) handleProbeFailure(context, target)
+    else if (ageMs >= probe.attempts * ATTEMPT_INTERVAL_MS) sendProbeAttempt(context, probe, target)
   }
   for (const [sequence, relay] of state.relays) {
     if (nowMs - relay.sentAtMs > PROBE_TIMEOUT_MS) state.relays.delete(sequence)
@@ -103,59 +103,59 @@
 }
 
 /** Holds the missing ack against the member and tells those who can confirm it, and itself, at once. */
-function handleProbeFailure (round: Round, target: MemberRecord): void {
-  const { state, nowMs, effects } = round
+function handleProbeFailure (context: DecisionContext, target: MemberRecord): void {
+  const { state, nowMs, effects } = context
   state.probes.delete(target.vm)
-  if (nowMs < state.distrustUntilMs) return
-  const { claimedAccusers } = target
-  target.claimedAccusers = []
-  if (!addAccusers(round, target, [state.self.vm, ...claimedAccusers])) return
-  const others = readRing(state).filter(m => isConfirmer(round, m, target))
-  for (const to of [target, ...others]) {
-    effects.push({ type: 'send', to, body: { type: 'gossip', updates: listNews(state, to.vm) } })
+  if (nowMs < state.pauseRecoveryEndsMs) return
+  const { reportedAccusers } = target
+  target.reportedAccusers = []
+  if (!addAccusers(context, target, [state.self.vm, ...reportedAccusers])) return
+  const confirmers = readRing(state).filter(m => isConfirmer(context, m, target))
+  for (const to of [target, ...confirmers]) {
+    effects.push({ type: 'send', to, body: { type: 'gossip', updates: selectUpdatesFor(state, to.vm) } })
   }
-  recordNews(state, target.vm)
+  scheduleGossip(state, target.vm)
 }
 
-function isConfirmer ({ state }: Round, member: MemberRecord, target: MemberRecord): boolean {
+function isConfirmer ({ state }: DecisionContext, member: MemberRecord, target: MemberRecord): boolean {
   if (member === target || member.accusers.length > 0) return false
-  return isPredecessor(readRing(state), member.hash, target, CONFIRMERS, m => m.accusers.length === 0)
+  return isPredecessor(readRing(state), member.hash, target, CONFIRMER_COUNT, m => m.accusers.length === 0)
 }
 
 /** Probes a member that others suspect, if this VM is one of those who confirm. */
-export function probeSuspect (round: Round, target: MemberRecord): void {
-  if (target.isDead || target.accusers.includes(round.state.self.vm)) return
-  if (isConfirmer(round, round.state.self, target)) startProbe(round, target, false)
+export function probeSuspect (context: DecisionContext, target: MemberRecord): void {
+  if (target.isDead || target.accusers.includes(context.state.self.vm)) return
+  if (isConfirmer(context, context.state.self, target)) startProbe(context, target, false)
 }
 
 /** Tells a member that others hold it for dead, which it refutes if it lives, and probes it. */
-export function checkClaim (round: Round, target: MemberRecord, claim: MemberUpdate): void {
-  const { state, effects } = round
-  if (!claim.isDead || state.probes.has(target.vm) || state.probes.size >= MAX_PROBES) return
-  effects.push({ type: 'send', to: target, body: { type: 'gossip', updates: [claim] } })
-  startProbe(round, target, false)
+export function verifyReportedDeath (context: DecisionContext, target: MemberRecord, deathReport: MemberUpdate): void {
+  const { state, effects } = context
+  if (!deathReport.isDead || state.probes.has(target.vm) || state.probes.size >= MAX_PROBES_IN_FLIGHT) return
+  effects.push({ type: 'send', to: target, body: { type: 'gossip', updates: [deathReport] } })
+  startProbe(context, target, false)
 }
 
 /** Ends suspicions: by death when enough members confirm and the time to refute is over. */
-export function checkSuspicions (round: Round): void {
-  const { state, nowMs } = round
-  if (state.suspected.size === 0 || nowMs < state.distrustUntilMs) return
-  const waitMs = computeSuspicionMs(state.members.size + 1)
-  const needed = countConfirmationsNeeded(round)
+export function checkSuspicions (context: DecisionContext): void {
+  const { state, nowMs } = context
+  if (state.suspected.size === 0 || nowMs < state.pauseRecoveryEndsMs) return
+  const minSuspicionMs = computeMinSuspicionMs(state.members.size + 1)
+  const requiredConfirmations = countRequiredConfirmations(context)
   for (const vm of [...state.suspected]) {
-    const m = state.members.get(vm)!
-    const ageMs = nowMs - m.suspectedAtMs
-    if (ageMs < waitMs) continue
-    if (m.accusers.length >= needed && nowMs - m.heardAtMs >= waitMs) confirmDeath(round, m)
-    else if (ageMs >= SUSPICION_LIMIT_MS) checkSuspicion(round, m)
+    const member = state.members.get(vm)!
+    const ageMs = nowMs - member.suspectedAtMs
+    if (ageMs < minSuspicionMs) continue
+    if (member.accusers.length >= requiredConfirmations && nowMs - member.lastContactAtMs >= minSuspicionMs) confirmDeath(context, member)
+    else if (ageMs >= MAX_UNCONFIRMED_SUSPICION_MS) resetSuspicion(context, member)
   }
 }
 
 /** Keeps no accusation but this VM's own, which ends with the next ack. */
-function checkSuspicion (round: Round, record: MemberRecord): void {
-  const { state, nowMs } = round
+function resetSuspicion (context: DecisionContext, record: MemberRecord): void {
+  const { state, nowMs } = context
   if (!record.accusers.includes(state.self.vm)) {
-    dropSuspicion(round, record, 'not confirmed')
+    dropSuspicion(context, record, 'not confirmed')
     return
   }
   record.accusers = [state.self.vm]
@@ -163,12 +163,12 @@
 }
 
 /** @example computeSuspicionMs(100) // 3000 */
-export function computeSuspicionMs (fleetSize: number): number {
-  return SUSPICION_PER_DECADE_MS * Math.max(1, Math.log10(fleetSize))
+export function computeMinSuspicionMs (fleetSize: number): number {
+  return MIN_SUSPICION_PER_DECADE_MS * Math.max(1, Math.log10(fleetSize))
 }
 
 /** `CONFIRMATIONS`, or all that are left and not suspected, this VM included. */
-function countConfirmationsNeeded ({ state }: Round): number {
-  const trusted = 1 + readRing(state).length - state.suspected.size
-  return Math.min(CONFIRMATIONS, trusted)
+function countRequiredConfirmations ({ state }: DecisionContext): number {
+  const unsuspectedCount = 1 + readRing(state).length - state.suspected.size
+  return Math.min(REQUIRED_CONFIRMATIONS, unsuspectedCount)
 }
--- a/packages/proxy/src/membership/ring.ts
+++ b/packages/proxy/src/membership/ring.ts
@@ -2,28 +2,28 @@
 
 /** The first members clockwise after a place on the ring that pass `isWanted`. */
 export function listSuccessors (ring: readonly MemberRecord[], hash: number, count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
-  return listAround(ring, findPlace(ring, hash), 1, count, isWanted)
+  return listAlongRing(ring, findRingIndex(ring, hash), 1, count, isWanted)
 }
 
 /** Whether a VM at `selfHash` is among the first `count` members before `target` that pass `isWanted`. */
 export function isPredecessor (ring: readonly MemberRecord[], selfHash: number, target: MemberRecord, count: number, isWanted: (m: MemberRecord) => boolean): boolean {
-  const nearer = listAround(ring, findPlace(ring, target.hash) - 1, -1, count, m => {
-    return isWanted(m) && m.vm !== target.vm && measureDistance(m.hash, target.hash) < measureDistance(selfHash, target.hash)
+  const closerMembers = listAlongRing(ring, findRingIndex(ring, target.hash) - 1, -1, count, m => {
+    return isWanted(m) && m.vm !== target.vm && measureClockwiseDistance(m.hash, target.hash) < measureClockwiseDistance(selfHash, target.hash)
   })
-  return nearer.length < count
+  return closerMembers.length < count
 }
 
-function listAround (ring: readonly MemberRecord[], start: number, step: 1 | -1, count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
+function listAlongRing (ring: readonly MemberRecord[], startIndex: number, direction: 1 | -1, count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
   const found: MemberRecord[] = []
   for (let i = 0; i < ring.length && found.length < count; i++) {
-    const m = ring[(start + i * step + 2 * ring.length) % ring.length]!
+    const m = ring[(startIndex + i * direction + 2 * ring.length) % ring.length]!
     if (isWanted(m)) found.push(m)
   }
   return found
 }
 
 /** Index of the first member at or after `hash`, by binary search. */
-function findPlace (ring: readonly MemberRecord[], hash: number): number {
+function findRingIndex (ring: readonly MemberRecord[], hash: number): number {
   let low = 0
   let high = ring.length
   while (low < high) {
@@ -35,6 +35,6 @@
 }
 
 /** Clockwise distance on the ring of 32-bit hashes. */
-function measureDistance (from: number, to: number): number {
+function measureClockwiseDistance (from: number, to: number): number {
   return (to - from) >>> 0
 }
--- a/packages/proxy/src/membership/state.ts
+++ b/packages/proxy/src/membership/state.ts
@@ -3,7 +3,7 @@
 import type { MembershipMessage } from './messages.ts'
 
 /** Sends of a new member's own news before it knows how many others there are. */
-const JOIN_SENDS = 10
+const JOIN_GOSSIP_SENDS = 10
 
 /** One member as this VM knows it. */
 export interface MemberRecord {
@@ -23,13 +23,13 @@
   /** VMs whose probes failed; not empty while suspected or dead. */
   accusers: string[]
   /** Accusers whom others claim for a death that this VM has not seen itself; they count once its own probe fails. */
-  claimedAccusers: string[]
+  reportedAccusers: string[]
   /** When the suspicion began here, in monotonic milliseconds. */
   suspectedAtMs: number
   /** Last message from the member itself, in monotonic milliseconds. */
-  heardAtMs: number
+  lastContactAtMs: number
   /** Since when the platform has not listed this dead member; `null` while it does. */
-  absentSinceMs: number | null
+  unlistedSinceMs: number | null
 }
 
 /** A probe in flight: several attempts, direct and through others. */
@@ -39,7 +39,7 @@
   startedAtMs: number
   attempts: number
   /** The ping carries a digest of the view. */
-  withDigest: boolean
+  hasDigest: boolean
 }
 
 /** A ping sent on behalf of another VM. */
@@ -52,7 +52,7 @@
 export interface MembershipState {
   self: MemberRecord
   /** The platform called this VM leaving. */
-  isListedLeaving: boolean
+  isListedAsLeaving: boolean
   /** Every member but this VM. */
   members: Map<string, MemberRecord>
   /** Members that are not dead, by place on the ring; `null` when it must be rebuilt. */
@@ -61,37 +61,37 @@
   suspected: Set<string>
   dead: Set<string>
   /** Members with `claimedAccusers`. */
-  claimed: Set<string>
+  reportedDead: Set<string>
   probes: Map<string, Probe>
   relays: Map<number, Relay>
   /** Sends left for the news of each member. */
   gossip: Map<string, number>
   /** Listed VMs that are not members yet. */
-  contacts: Vm[]
+  unknownListedVms: Vm[]
   hasSynced: boolean
   isPoller: boolean
   /** The ring for which `isPoller` was decided. */
   pollerRing: MemberRecord[] | null
   sequence: number
   /** State of the seeded generator. */
-  random: number
-  rounds: number
+  randomState: number
+  roundCount: number
   lastTickMs: number | null
   nextRoundMs: number
   nextPollMs: number
   nextSyncMs: number
   /** Until then failed probes are not held against anybody, since this process was itself late. */
-  distrustUntilMs: number
+  pauseRecoveryEndsMs: number
 }
 
-export interface Contact {
+export interface PeerAddress {
   vm: string
   host: string
   peerPort: number
 }
 
 export type MembershipEffect =
-  | { type: 'send', to: Contact, body: MembershipMessage }
+  | { type: 'send', to: PeerAddress, body: MembershipMessage }
   | { type: 'poll' }
   | { type: 'changed', member: Member, reason: string }
   /** After all changes of one message. */
@@ -105,32 +105,32 @@
 /** @example const state = createMembershipState({ self, seed: 1 }) */
 export function createMembershipState ({ self, seed }: MembershipStateOptions): MembershipState {
   return {
-    self: createRecord(self, 0),
-    isListedLeaving: false,
+    self: createMemberRecord(self, 0),
+    isListedAsLeaving: false,
     members: new Map(),
     ring: null,
     suspected: new Set(),
     dead: new Set(),
-    claimed: new Set(),
+    reportedDead: new Set(),
     probes: new Map(),
     relays: new Map(),
-    gossip: new Map([[self.vm, JOIN_SENDS]]),
-    contacts: [],
+    gossip: new Map([[self.vm, JOIN_GOSSIP_SENDS]]),
+    unknownListedVms: [],
     hasSynced: false,
     isPoller: true,
     pollerRing: null,
     sequence: 0,
-    random: seed | 0,
-    rounds: 0,
+    randomState: seed | 0,
+    roundCount: 0,
     lastTickMs: null,
     nextRoundMs: 0,
     nextPollMs: 0,
     nextSyncMs: 0,
-    distrustUntilMs: 0
+    pauseRecoveryEndsMs: 0
   }
 }
 
-export function createRecord (member: Omit<Member, 'state'> & { processIncarnation?: number }, nowMs: number): MemberRecord {
+export function createMemberRecord (member: Omit<Member, 'state'> & { processIncarnation?: number }, nowMs: number): MemberRecord {
   const { vm, host, peerPort, failureDomain, region, incarnation, processIncarnation = incarnation } = member
   return {
     vm,
@@ -144,10 +144,10 @@
     isLeaving: false,
     isDead: false,
     accusers: [],
-    claimedAccusers: [],
+    reportedAccusers: [],
     suspectedAtMs: 0,
-    heardAtMs: nowMs,
-    absentSinceMs: null
+    lastContactAtMs: nowMs,
+    unlistedSinceMs: null
   }
 }
 
@@ -178,18 +178,18 @@
 
 /** A number in [0, 1) from the seeded generator mulberry32. */
 export function pickRandom (state: MembershipState): number {
-  state.random = (state.random + 0x6d2b79f5) | 0
-  let t = Math.imul(state.random ^ (state.random >>> 15), 1 | state.random)
+  state.randomState = (state.randomState + 0x6d2b79f5) | 0
+  let t = Math.imul(state.randomState ^ (state.randomState >>> 15), 1 | state.randomState)
   t = (t + Math.imul(t ^ (t >>> 7), 61 | t)) ^ t
   return ((t ^ (t >>> 14)) >>> 0) / 4_294_967_296
 }
 
 /** Up to `count` different members that pass `isWanted`. */
-export function pickMembers (state: MembershipState, list: readonly MemberRecord[], count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
+export function pickMembers (state: MembershipState, members: readonly MemberRecord[], count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
   const picked = new Set<MemberRecord>()
-  const maxTries = Math.min(list.length, 2 * count) + count
+  const maxTries = Math.min(members.length, 2 * count) + count
   for (let i = 0; i < maxTries && picked.size < count; i++) {
-    const m = list[Math.floor(pickRandom(state) * list.length)]
+    const m = members[Math.floor(pickRandom(state) * members.length)]
     if (m !== undefined && isWanted(m)) picked.add(m)
   }
   return [...picked]
--- a/packages/proxy/src/membership/sync.ts
+++ b/packages/proxy/src/membership/sync.ts
@@ -1,12 +1,12 @@
 import { hashPair } from '@camphorpitch/wire'
 import { SYNC_CHUNK_SIZE, type MemberUpdate } from './messages.ts'
-import { pickRandom, type Contact, type MemberRecord, type MembershipState } from './state.ts'
-import { createUpdate, type Round } from './updates.ts'
+import { pickRandom, type PeerAddress, type MemberRecord, type MembershipState } from './state.ts'
+import { createUpdate, type DecisionContext } from './updates.ts'
 
 /** Time between full syncs that this VM begins. */
 const SYNC_INTERVAL_MS = 10_000
 /** Listed VMs that a VM contacts at once while it has no view yet. */
-const JOIN_CONTACTS = 3
+const JOIN_FANOUT = 3
 
 /** A hash of the members that are not dead, equal for equal views. */
 export function computeDigest (state: MembershipState): number {
@@ -18,21 +18,21 @@
 }
 
 function hashMember (m: MemberRecord): number {
-  const version = (m.incarnation % 0x20000000) * 2 + Number(m.isLeaving)
-  return hashPair(m.hash, version)
+  const memberVersion = (m.incarnation % 0x20000000) * 2 + Number(m.isLeaving)
+  return hashPair(m.hash, memberVersion)
 }
 
 /** Begins a full sync when a peer's view differs, at most once per `SYNC_INTERVAL_MS`. */
-export function compareViews (round: Round, peer: Contact, digest: number): void {
-  const { state, nowMs } = round
+export function compareViews (context: DecisionContext, peer: PeerAddress, digest: number): void {
+  const { state, nowMs } = context
   if (digest === computeDigest(state) || nowMs < state.nextSyncMs) return
   state.nextSyncMs = nowMs + SYNC_INTERVAL_MS
-  sendView(round, peer, true)
+  sendView(context, peer, true)
 }
 
 /** Sends the whole view in chunks; the last one asks for the receiver's view if `wantsReply`. */
-export function sendView (round: Round, to: Contact, wantsReply: boolean): void {
-  const { state, effects } = round
+export function sendView (context: DecisionContext, to: PeerAddress, wantsReply: boolean): void {
+  const { state, effects } = context
   const updates: MemberUpdate[] = [state.self, ...state.members.values()].map(createUpdate)
   for (let i = 0; i < updates.length; i += SYNC_CHUNK_SIZE) {
     const isLast = i + SYNC_CHUNK_SIZE >= updates.length
@@ -41,12 +41,12 @@
 }
 
 /** Sends this VM's view to listed VMs that are not members yet. */
-export function sendToContacts (round: Round): void {
-  const { state } = round
-  const count = state.hasSynced ? 1 : JOIN_CONTACTS
-  const left = [...state.contacts]
-  for (let i = 0; i < count && left.length > 0; i++) {
-    const [contact] = left.splice(Math.floor(pickRandom(state) * left.length), 1)
-    sendView(round, contact!, true)
+export function sendViewToUnknownVms (context: DecisionContext): void {
+  const { state } = context
+  const count = state.hasSynced ? 1 : JOIN_FANOUT
+  const remaining = [...state.unknownListedVms]
+  for (let i = 0; i < count && remaining.length > 0; i++) {
+    const [address] = remaining.splice(Math.floor(pickRandom(state) * remaining.length), 1)
+    sendView(context, address!, true)
   }
 }
--- a/packages/proxy/src/membership/updates.ts
+++ b/packages/proxy/src/membership/updates.ts
@@ -1,11 +1,11 @@
 import { MAX_ACCUSERS, MAX_UPDATES, type MemberUpdate } from './messages.ts'
-import { createRecord, describeMember, readMemberState, type MemberRecord, type MembershipEffect, type MembershipState } from './state.ts'
+import { createMemberRecord, describeMember, readMemberState, type MemberRecord, type MembershipEffect, type MembershipState } from './state.ts'
 
 /** Sends of one piece of news by each VM, per doubling of the fleet. */
 const GOSSIP_SENDS_PER_DOUBLING = 3
 
 /** What one call of the decision works on. */
-export interface Round {
+export interface DecisionContext {
   state: MembershipState
   nowMs: number
   effects: MembershipEffect[]
@@ -19,65 +19,65 @@
  * waits out the suspicion itself. A claim of death is checked by a probe of one's own, so that a group
  * that was cut off cannot make them hold each other for dead on its return.
  */
-export function applyUpdate (round: Round, update: MemberUpdate): boolean {
-  const { state } = round
-  if (update.vm === state.self.vm) return applyUpdateOfSelf(round, update)
+export function applyUpdate (context: DecisionContext, update: MemberUpdate): boolean {
+  const { state } = context
+  if (update.vm === state.self.vm) return applyUpdateOfSelf(context, update)
   const record = state.members.get(update.vm)
-  if (record === undefined) return addMember(round, update)
+  if (record === undefined) return addMember(context, update)
   if (update.incarnation < record.incarnation) return false
   if (update.incarnation > record.incarnation) {
-    replaceIncarnation(round, record, update)
+    replaceIncarnation(context, record, update)
     return true
   }
-  const isLeavingNews = update.isLeaving && !record.isLeaving
-  if (isLeavingNews) setLeaving(round, record, 'announced')
+  const isNewlyLeaving = update.isLeaving && !record.isLeaving
+  if (isNewlyLeaving) setLeaving(context, record, 'announced')
   if (update.isDead && !record.isDead && record.accusers.length === 0) {
-    record.claimedAccusers = update.accusers
-    state.claimed.add(record.vm)
-    return isLeavingNews
+    record.reportedAccusers = update.accusers
+    state.reportedDead.add(record.vm)
+    return isNewlyLeaving
   }
-  return addAccusers(round, record, update.accusers) || isLeavingNews
+  return addAccusers(context, record, update.accusers) || isNewlyLeaving
 }
 
 /** Refutes what others wrongly hold of this VM by a higher incarnation. */
-function applyUpdateOfSelf (round: Round, update: MemberUpdate): boolean {
-  const { self } = round.state
+function applyUpdateOfSelf (context: DecisionContext, update: MemberUpdate): boolean {
+  const { self } = context.state
   if (update.incarnation < self.incarnation) return false
-  if (update.incarnation === self.incarnation && update.isLeaving && !self.isLeaving) followListedLeaving(round)
-  const isTrue = update.incarnation === self.incarnation && update.accusers.length === 0 && update.isLeaving === self.isLeaving
-  if (isTrue) return false
+  if (update.incarnation === self.incarnation && update.isLeaving && !self.isLeaving) adoptReportedLeaving(context)
+  const isAccurate = update.incarnation === self.incarnation && update.accusers.length === 0 && update.isLeaving === self.isLeaving
+  if (isAccurate) return false
   self.incarnation = update.incarnation + 1
-  recordNews(round.state, self.vm)
-  round.effects.push({ type: 'changed', member: describeMember(self), reason: 'refuted' })
+  scheduleGossip(context.state, self.vm)
+  context.effects.push({ type: 'changed', member: describeMember(self), reason: 'refuted' })
   return true
 }
 
 /** Others have read in the platform's list that this VM leaves; its own next reading confirms or ends that. */
-function followListedLeaving ({ state, effects }: Round): void {
-  state.isListedLeaving = true
+function adoptReportedLeaving ({ state, effects }: DecisionContext): void {
+  state.isListedAsLeaving = true
   state.self.isLeaving = true
   state.nextPollMs = 0
-  recordNews(state, state.self.vm)
+  scheduleGossip(state, state.self.vm)
   effects.push({ type: 'changed', member: describeMember(state.self), reason: 'listed as leaving' })
 }
 
-function addMember (round: Round, update: MemberUpdate): boolean {
+function addMember (context: DecisionContext, update: MemberUpdate): boolean {
   if (update.isDead) return false
-  const { state, nowMs } = round
-  const record = createRecord(update, nowMs)
+  const { state, nowMs } = context
+  const record = createMemberRecord(update, nowMs)
   record.isLeaving = update.isLeaving
   state.members.set(record.vm, record)
   state.ring = null
-  state.contacts = state.contacts.filter(c => c.vm !== record.vm)
-  recordNews(state, record.vm)
-  addAccusers(round, record, update.accusers)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason: 'joined' })
+  state.unknownListedVms = state.unknownListedVms.filter(c => c.vm !== record.vm)
+  scheduleGossip(state, record.vm)
+  addAccusers(context, record, update.accusers)
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: 'joined' })
   return true
 }
 
-function replaceIncarnation (round: Round, record: MemberRecord, update: MemberUpdate): void {
-  const { state } = round
-  const before = readMemberState(record)
+function replaceIncarnation (context: DecisionContext, record: MemberRecord, update: MemberUpdate): void {
+  const { state } = context
+  const previousState = readMemberState(record)
   record.host = update.host
   record.peerPort = update.peerPort
   record.failureDomain = update.failureDomain
@@ -86,60 +86,60 @@
   record.processIncarnation = update.processIncarnation
   record.isLeaving = update.isLeaving
   record.accusers = []
-  record.claimedAccusers = []
-  record.absentSinceMs = null
+  record.reportedAccusers = []
+  record.unlistedSinceMs = null
   state.suspected.delete(record.vm)
   if (record.isDead) {
     record.isDead = false
     state.dead.delete(record.vm)
     state.ring = null
   }
-  recordNews(state, record.vm)
-  addAccusers(round, record, update.accusers)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason: `was ${before}` })
+  scheduleGossip(state, record.vm)
+  addAccusers(context, record, update.accusers)
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: `was ${previousState}` })
 }
 
 /** Adds accusations against the record's present incarnation; tells whether any was new. */
-export function addAccusers (round: Round, record: MemberRecord, accusers: readonly string[]): boolean {
-  const { state, nowMs } = round
-  const fresh = accusers.filter(a => !record.accusers.includes(a)).slice(0, MAX_ACCUSERS - record.accusers.length)
-  if (fresh.length === 0) return false
+export function addAccusers (context: DecisionContext, record: MemberRecord, accusers: readonly string[]): boolean {
+  const { state, nowMs } = context
+  const newAccusers = accusers.filter(a => !record.accusers.includes(a)).slice(0, MAX_ACCUSERS - record.accusers.length)
+  if (newAccusers.length === 0) return false
   const wasSuspected = record.accusers.length > 0
-  record.accusers = [...record.accusers, ...fresh]
-  recordNews(state, record.vm)
+  record.accusers = [...record.accusers, ...newAccusers]
+  scheduleGossip(state, record.vm)
   if (wasSuspected) return true
   record.suspectedAtMs = nowMs
   state.suspected.add(record.vm)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason: `suspected by ${fresh[0]}` })
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: `suspected by ${newAccusers[0]}` })
   return true
 }
 
 /** Ends the suspicion without a refutation. */
-export function dropSuspicion (round: Round, record: MemberRecord, reason: string): void {
+export function dropSuspicion (context: DecisionContext, record: MemberRecord, reason: string): void {
   record.accusers = []
-  round.state.suspected.delete(record.vm)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason })
+  context.state.suspected.delete(record.vm)
+  context.effects.push({ type: 'changed', member: describeMember(record), reason })
 }
 
-export function setLeaving (round: Round, record: MemberRecord, reason: string): void {
+export function setLeaving (context: DecisionContext, record: MemberRecord, reason: string): void {
   record.isLeaving = true
-  recordNews(round.state, record.vm)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason })
+  scheduleGossip(context.state, record.vm)
+  context.effects.push({ type: 'changed', member: describeMember(record), reason })
 }
 
-export function confirmDeath (round: Round, record: MemberRecord): void {
-  const { state } = round
+export function confirmDeath (context: DecisionContext, record: MemberRecord): void {
+  const { state } = context
   record.isDead = true
   state.suspected.delete(record.vm)
   state.dead.add(record.vm)
   state.ring = null
   state.probes.delete(record.vm)
-  recordNews(state, record.vm)
-  round.effects.push({ type: 'changed', member: describeMember(record), reason: `confirmed by ${record.accusers.join(', ')}` })
+  scheduleGossip(state, record.vm)
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: `confirmed by ${record.accusers.join(', ')}` })
 }
 
 /** Marks what is known of a member to be passed on. */
-export function recordNews (state: MembershipState, vm: string): void {
+export function scheduleGossip (state: MembershipState, vm: string): void {
   const doublings = Math.ceil(Math.log2(state.members.size + 2))
   state.gossip.set(vm, GOSSIP_SENDS_PER_DOUBLING * doublings)
 }
@@ -150,26 +150,26 @@
 }
 
 /** Takes the least sent news for one message, and first what concerns its receiver. */
-export function listNews (state: MembershipState, receiver: string): MemberUpdate[] {
-  const updates = state.gossip.size > 0 ? selectNews(state, receiver) : []
-  const doubted = state.members.get(receiver)
-  if (doubted === undefined || (doubted.accusers.length === 0 && !doubted.isLeaving)) return updates
-  return [createUpdate(doubted), ...updates]
+export function selectUpdatesFor (state: MembershipState, receiver: string): MemberUpdate[] {
+  const updates = state.gossip.size > 0 ? selectPendingUpdates(state, receiver) : []
+  const receiverRecord = state.members.get(receiver)
+  if (receiverRecord === undefined || (receiverRecord.accusers.length === 0 && !receiverRecord.isLeaving)) return updates
+  return [createUpdate(receiverRecord), ...updates]
 }
 
-function selectNews (state: MembershipState, receiver: string): MemberUpdate[] {
+function selectPendingUpdates (state: MembershipState, receiver: string): MemberUpdate[] {
   const vms = [...state.gossip]
     .sort((a, b) => b[1] - a[1])
     .map(([vm]) => vm)
     .filter(vm => vm !== receiver)
     .slice(0, MAX_UPDATES - 1)
-  for (const vm of vms) spendSend(state, vm)
+  for (const vm of vms) recordGossipSend(state, vm)
   return vms.flatMap(vm => findRecord(state, vm) ?? []).map(createUpdate)
 }
 
-function spendSend (state: MembershipState, vm: string): void {
-  const left = (state.gossip.get(vm) ?? 0) - 1
-  if (left > 0) state.gossip.set(vm, left)
+function recordGossipSend (state: MembershipState, vm: string): void {
+  const remainingSends = (state.gossip.get(vm) ?? 0) - 1
+  if (remainingSends > 0) state.gossip.set(vm, remainingSends)
   else state.gossip.delete(vm)
 }
 
--- a/packages/proxy/src/membership/virtual-fleet.ts
+++ b/packages/proxy/src/membership/virtual-fleet.ts
@@ -8,7 +8,7 @@
 export const FIRST_INCARNATION = 1_700_000_000_000
 
 /** Width of a slice of virtual time. */
-const BUCKET_MS = 10
+const BUCKET_WIDTH_MS = 10
 
 /** The decision under test: the real one, or a naive one for comparison. */
 export type DecideMembership = typeof decideMembership
@@ -32,15 +32,15 @@
   pausedUntilMs: number
 }
 
-interface Event {
+interface ScheduledEvent {
   atMs: number
   vm: string
   /** Life of the VM for which the event is meant. */
-  life: number
+  generation: number
   input: MembershipInput
 }
 
-interface Change {
+interface ObservedChange {
   atMs: number
   vm: string
   incarnation: number
@@ -52,24 +52,24 @@
 export class VirtualFleet {
   nowMs = 0
   loss: number
-  readonly deaths: Change[] = []
-  readonly suspicions: Change[] = []
+  readonly deaths: ObservedChange[] = []
+  readonly suspicions: ObservedChange[] = []
   /** Incarnations that went back in some view. */
-  readonly regressions: string[] = []
+  readonly incarnationRegressions: string[] = []
   readonly #options: VirtualFleetOptions
   readonly #vms = new Map<string, VirtualVm>()
-  readonly #buckets = new Map<number, Event[]>()
+  readonly #buckets = new Map<number, ScheduledEvent[]>()
   /** Highest incarnation that each life of each VM has shown of each member. */
-  readonly #incarnations = new Map<string, number>()
-  readonly #lives = new Map<string, number>()
-  #listed: Vm[] = []
-  #random: number
-  #side: ((vm: string) => number) | null = null
+  readonly #highestIncarnations = new Map<string, number>()
+  readonly #generations = new Map<string, number>()
+  #listedVms: Vm[] = []
+  #randomState: number
+  #findSide: ((vm: string) => number) | null = null
 
   constructor (options: VirtualFleetOptions) {
     this.#options = options
     this.loss = options.loss ?? 0
-    this.#random = options.seed | 0
+    this.#randomState = options.seed | 0
     for (let i = 0; i < options.size; i++) this.startVm(`vm-${i}`)
   }
 
@@ -78,12 +78,12 @@
     const index = Number(vm.slice('vm-'.length))
     const domain = index % (this.#options.failureDomains ?? 9)
     const address = { vm, host: '10.0.0.1', peerPort: 7_000 + index, failureDomain: `domain-${domain}`, region: `region-${domain % 3}` }
-    const life = (this.#lives.get(vm) ?? 0) + 1
-    this.#lives.set(vm, life)
+    const generation = (this.#generations.get(vm) ?? 0) + 1
+    this.#generations.set(vm, generation)
     const self = { ...address, incarnation }
     this.#vms.set(vm, { state: createMembershipState({ self, seed: this.#options.seed * 7_919 + index }), isRunning: true, pausedUntilMs: 0 })
-    this.#listed = [...this.#listed.filter(v => v.vm !== vm), { ...address, state: 'live' }]
-    this.#schedule({ atMs: this.nowMs + this.pickRandom() * TICK_INTERVAL_MS, vm, life, input: { type: 'tick' } })
+    this.#listedVms = [...this.#listedVms.filter(v => v.vm !== vm), { ...address, state: 'live' }]
+    this.#schedule({ atMs: this.nowMs + this.pickRandom() * TICK_INTERVAL_MS, vm, generation, input: { type: 'tick' } })
   }
 
   /** Ends a VM without notice; the platform goes on listing it. */
@@ -96,26 +96,26 @@
   }
 
   leave (vm: string): void {
-    this.#deliver({ atMs: this.nowMs, vm, life: this.#lives.get(vm)!, input: { type: 'leave' } })
+    this.#deliver({ atMs: this.nowMs, vm, generation: this.#generations.get(vm)!, input: { type: 'leave' } })
   }
 
   listAsLeaving (vm: string): void {
-    this.#listed = this.#listed.map(v => v.vm === vm ? { ...v, state: 'leaving' } : v)
+    this.#listedVms = this.#listedVms.map(v => v.vm === vm ? { ...v, state: 'leaving' } : v)
   }
 
   removeFromList (vm: string): void {
-    this.#listed = this.#listed.filter(v => v.vm !== vm)
+    this.#listedVms = this.#listedVms.filter(v => v.vm !== vm)
   }
 
   /** Loses all messages between VMs of different sides; `null` heals the network. */
-  cut (side: ((vm: string) => number) | null): void {
-    this.#side = side
+  cut (findSide: ((vm: string) => number) | null): void {
+    this.#findSide = findSide
   }
 
   run (durationMs: number): void {
     const endMs = this.nowMs + durationMs
-    const lastBucket = Math.floor(endMs / BUCKET_MS)
-    for (let bucket = Math.floor(this.nowMs / BUCKET_MS); bucket <= lastBucket; bucket++) {
+    const lastBucket = Math.floor(endMs / BUCKET_WIDTH_MS)
+    for (let bucket = Math.floor(this.nowMs / BUCKET_WIDTH_MS); bucket <= lastBucket; bucket++) {
       while (this.#buckets.has(bucket)) this.#deliverBucket(bucket)
     }
     this.nowMs = endMs
@@ -159,21 +159,21 @@
   }
 
   pickRandom (): number {
-    this.#random = (Math.imul(this.#random, 1_664_525) + 1_013_904_223) | 0
-    const mixed = Math.imul(this.#random ^ (this.#random >>> 16), 0x45d9f3b)
+    this.#randomState = (Math.imul(this.#randomState, 1_664_525) + 1_013_904_223) | 0
+    const mixed = Math.imul(this.#randomState ^ (this.#randomState >>> 16), 0x45d9f3b)
     return ((mixed ^ (mixed >>> 15)) >>> 0) / 4_294_967_296
   }
 
-  #schedule (event: Event): void {
-    const bucket = Math.floor(event.atMs / BUCKET_MS)
+  #schedule (event: ScheduledEvent): void {
+    const bucket = Math.floor(event.atMs / BUCKET_WIDTH_MS)
     const events = this.#buckets.get(bucket)
     if (events === undefined) this.#buckets.set(bucket, [event])
     else events.push(event)
   }
 
-  #deliver (event: Event): void {
+  #deliver (event: ScheduledEvent): void {
     const target = this.#vms.get(event.vm)
-    if (target === undefined || !target.isRunning || event.life !== this.#lives.get(event.vm)) return
+    if (target === undefined || !target.isRunning || event.generation !== this.#generations.get(event.vm)) return
     if (target.pausedUntilMs > this.nowMs) {
       this.#schedule({ ...event, atMs: Math.max(target.pausedUntilMs, this.nowMs + 1) })
       return
@@ -185,9 +185,9 @@
   }
 
   #runEffect (vm: string, effect: MembershipEffect): void {
-    const life = this.#lives.get(vm)!
+    const generation = this.#generations.get(vm)!
     if (effect.type === 'poll') {
-      this.#schedule({ atMs: this.nowMs + 1 + this.pickRandom() * 10, vm, life, input: { type: 'listed', vms: this.#listed } })
+      this.#schedule({ atMs: this.nowMs + 1 + this.pickRandom() * 10, vm, generation, input: { type: 'listed', vms: this.#listedVms } })
     } else if (effect.type === 'send') {
       this.#send(vm, effect.to.vm, effect.body)
     } else if (effect.type === 'changed') {
@@ -198,16 +198,16 @@
   #send (from: string, to: string, body: MembershipMessage): void {
     this.#options.handleSend?.(body)
     if (this.pickRandom() < this.loss) return
-    if (this.#side !== null && this.#side(from) !== this.#side(to)) return
+    if (this.#findSide !== null && this.#findSide(from) !== this.#findSide(to)) return
     const delayMs = 1 + this.pickRandom() * (this.#options.maxDelayMs ?? 20)
-    this.#schedule({ atMs: this.nowMs + delayMs, vm: to, life: this.#lives.get(to) ?? 0, input: { type: 'received', from, body } })
+    this.#schedule({ atMs: this.nowMs + delayMs, vm: to, generation: this.#generations.get(to) ?? 0, input: { type: 'received', from, body } })
   }
 
   #recordChange (observer: string, member: Member): void {
-    const key = `${observer}/${this.#lives.get(observer)}/${member.vm}`
+    const key = `${observer}/${this.#generations.get(observer)}/${member.vm}`
     const incarnation = this.readIncarnation(observer, member.vm)
-    if (incarnation < (this.#incarnations.get(key) ?? 0)) this.regressions.push(key)
-    this.#incarnations.set(key, incarnation)
+    if (incarnation < (this.#highestIncarnations.get(key) ?? 0)) this.incarnationRegressions.push(key)
+    this.#highestIncarnations.set(key, incarnation)
     const isRunning = this.#vms.get(member.vm)?.isRunning === true
     const change = { atMs: this.nowMs, vm: member.vm, incarnation, observer, isRunning }
     if (member.state === 'dead') this.deaths.push(change)
