--- a/packages/proxy/src/statements/forwarding.test.ts
+++ b/packages/proxy/src/statements/forwarding.test.ts
@@ -6,20 +6,20 @@
 import { STATEMENTS_SLICE, StatementServer } from './statement-server.ts'
 import { createStatementRouter, type StatementRouter } from './statement-router.ts'
 
-const ROWS = 400
+const ROW_COUNT = 400
 const cell = Buffer.alloc(16 * 1024, 7)
 
 class FakeService extends DatabaseService {
-  rowsMade = 0
-  started: string[] = []
-  wake: () => void = () => {}
+  yieldedRows = 0
+  startedRequestIds: string[] = []
+  resume: () => void = () => {}
   override async * run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
-    this.started.push(request.requestId)
-    if (request.text === 'hang') await new Promise<void>(resolve => { this.wake = resolve })
+    this.startedRequestIds.push(request.requestId)
+    if (request.text === 'hang') await new Promise<void>(resolve => { this.resume = resolve })
     if (request.class !== 'read') return yield { kind: 'ok', affectedRows: 1, insertId: 5, position: { term: 1, index: 9 }, transactionId: null }
     yield { kind: 'columns', columns: [] }
-    for (let i = 0; i < ROWS; i++) {
-      this.rowsMade += 1
+    for (let i = 0; i < ROW_COUNT; i++) {
+      this.yieldedRows += 1
       yield { kind: 'rows', rows: [[cell]] }
     }
     yield { kind: 'end' }
@@ -106,7 +106,7 @@
 
   it('brings every frame in order, with the cells as they were', async () => {
     const frames = await collectFrames(findVm('entry').router, makeRequest())
-    expect(frames).to.have.length(ROWS + 3)
+    expect(frames).to.have.length(ROW_COUNT + 3)
     expect(frames[0]?.kind).to.equal('columns')
     expect(frames.at(-2)?.kind).to.equal('end')
     expect(frames.at(-1)).to.deep.equal({ kind: 'position', position: { term: 1, index: 12 } })
@@ -118,8 +118,8 @@
     const frames = findVm('entry').router.run(makeRequest(), null)
     await frames.next()
     await new Promise(resolve => setTimeout(resolve, 100))
-    const made = findVm('one').service?.rowsMade as number
-    expect(made).to.be.lessThan(40)
+    const yieldedRows = findVm('one').service?.yieldedRows as number
+    expect(yieldedRows).to.be.lessThan(40)
     await frames.return()
   })
 
@@ -127,24 +127,24 @@
     placement.vms = ['none', 'unknown', 'two']
     const frames = await collectFrames(findVm('entry').router, makeRequest({ class: 'write' }))
     expect(frames.at(-1)).to.include({ kind: 'ok', insertId: 5 })
-    expect(findVm('two').service?.started).to.have.length(1)
+    expect(findVm('two').service?.startedRequestIds).to.have.length(1)
   })
 
   it('never repeats an unnamed write whose VM was lost, and says that its outcome is unknown', async () => {
-    const answer = collectFrames(findVm('entry').router, makeRequest({ class: 'write', text: 'hang' }))
-    while (findVm('one').service?.started.length === 0) await new Promise(resolve => setImmediate(resolve))
+    const response = collectFrames(findVm('entry').router, makeRequest({ class: 'write', text: 'hang' }))
+    while (findVm('one').service?.startedRequestIds.length === 0) await new Promise(resolve => setImmediate(resolve))
     await findVm('one').network.stop()
-    expect(await answer).to.have.nested.property('[0].refusal.kind', 'outcomeUnknown')
-    expect(findVm('two').service?.started).to.have.length(0)
+    expect(await response).to.have.nested.property('[0].refusal.kind', 'outcomeUnknown')
+    expect(findVm('two').service?.startedRequestIds).to.have.length(0)
   })
 
   it('repeats a read whose VM was lost before the first frame', async () => {
-    const answer = collectFrames(findVm('entry').router, makeRequest({ text: 'hang' }))
-    while (findVm('one').service?.started.length === 0) await new Promise(resolve => setImmediate(resolve))
+    const response = collectFrames(findVm('entry').router, makeRequest({ text: 'hang' }))
+    while (findVm('one').service?.startedRequestIds.length === 0) await new Promise(resolve => setImmediate(resolve))
     await findVm('one').network.stop()
-    while (findVm('two').service?.started.length === 0) await new Promise(resolve => setImmediate(resolve))
-    findVm('two').service?.wake()
-    expect((await answer).at(-1)?.kind).to.equal('position')
+    while (findVm('two').service?.startedRequestIds.length === 0) await new Promise(resolve => setImmediate(resolve))
+    findVm('two').service?.resume()
+    expect((await response).at(-1)?.kind).to.equal('position')
   })
 
   it('ignores frames for another stream and from another VM', async () => {
--- a/packages/proxy/src/statements/frame-channel.ts
+++ b/packages/proxy/src/statements/frame-channel.ts
@@ -1,36 +1,36 @@
 import type { AnswerFrame } from '@camphorpitch/wire'
 
 /** Frames that may be under way before the receiver has consumed some. */
-export const FRAME_WINDOW = 16
+export const INITIAL_CREDIT_FRAMES = 16
 /** Consumed frames after which the receiver grants more. */
-const CREDIT_BATCH = 8
+const CREDIT_GRANT_FRAMES = 8
 
 /** Receiving end of one answer from another VM, with credit-based flow control. */
 export class FrameChannel {
   readonly #frames: AnswerFrame[] = []
   readonly #grantCredit: (frames: number) => void
-  #consumed = 0
-  #ended = false
+  #consumedSinceGrant = 0
+  #hasEnded = false
   #error: Error | undefined
-  #wake: (() => void) | undefined
+  #wakeReader: (() => void) | undefined
 
   constructor (grantCredit: (frames: number) => void) {
     this.#grantCredit = grantCredit
   }
 
-  addFrame (frame: AnswerFrame | null, last: boolean): void {
-    if (this.#ended) return
+  addFrame (frame: AnswerFrame | null, isLast: boolean): void {
+    if (this.#hasEnded) return
     if (frame !== null) this.#frames.push(frame)
-    this.#ended = last
-    this.#wake?.()
+    this.#hasEnded = isLast
+    this.#wakeReader?.()
   }
 
   /** Ends the channel; frames already received are still delivered before `error` is thrown. */
   closeWithError (error: Error): void {
-    if (this.#ended) return
-    this.#ended = true
+    if (this.#hasEnded) return
+    this.#hasEnded = true
     this.#error = error
-    this.#wake?.()
+    this.#wakeReader?.()
   }
 
   /** @throws the error given to `closeWithError` */
@@ -43,15 +43,15 @@
         continue
       }
       if (this.#error !== undefined) throw this.#error
-      if (this.#ended) return
-      await new Promise<void>(resolve => { this.#wake = resolve })
+      if (this.#hasEnded) return
+      await new Promise<void>(resolve => { this.#wakeReader = resolve })
     }
   }
 
   #recordConsumed (): void {
-    this.#consumed += 1
-    if (this.#consumed < CREDIT_BATCH || this.#ended) return
-    this.#grantCredit(this.#consumed)
-    this.#consumed = 0
+    this.#consumedSinceGrant += 1
+    if (this.#consumedSinceGrant < CREDIT_GRANT_FRAMES || this.#hasEnded) return
+    this.#grantCredit(this.#consumedSinceGrant)
+    this.#consumedSinceGrant = 0
   }
 }
--- a/packages/proxy/src/statements/remote-statements.ts
+++ b/packages/proxy/src/statements/remote-statements.ts
@@ -16,7 +16,7 @@
 
   constructor (peers: PeerNetwork) {
     this.#peers = peers
-    peers.subscribeLoss((vm, loss) => this.#handleLoss(vm, loss))
+    peers.subscribeLoss((vm, loss) => this.#handleLinkLoss(vm, loss))
   }
 
   /**
@@ -28,13 +28,13 @@
     const channel = new FrameChannel(frames => this.#send(vm, { type: 'credit', stream, frames }))
     this.#streams.set(stream, { vm, channel })
     this.#send(vm, { type: 'run', stream, request })
-    let completed = false
+    let isComplete = false
     try {
       yield * channel.readFrames()
-      completed = true
+      isComplete = true
     } finally {
       this.#streams.delete(stream)
-      if (!completed) this.#send(vm, { type: 'cancel', stream })
+      if (!isComplete) this.#send(vm, { type: 'cancel', stream })
     }
   }
 
@@ -56,7 +56,7 @@
     return this.#streams.size
   }
 
-  #handleLoss (vm: string, loss: LinkLoss): void {
+  #handleLinkLoss (vm: string, loss: LinkLoss): void {
     for (const [id, stream] of this.#streams) {
       if (stream.vm !== vm) continue
       this.#streams.delete(id)
--- a/packages/proxy/src/statements/served-databases.test.ts
+++ b/packages/proxy/src/statements/served-databases.test.ts
@@ -7,31 +7,31 @@
 
 class FakeService extends DatabaseService {
   open = new Set<string>()
-  stopped = false
-  endDrain: () => void = () => {}
+  isStopped = false
+  finishDrain: () => void = () => {}
   override async * run (): AsyncGenerator<AnswerFrame, void, void> {}
   override hasTransaction (id: string): boolean { return this.open.has(id) }
   override abandon (): void {}
-  override async drain (): Promise<void> { await new Promise<void>(resolve => { this.endDrain = resolve }) }
-  override stop (): void { this.stopped = true }
+  override async drain (): Promise<void> { await new Promise<void>(resolve => { this.finishDrain = resolve }) }
+  override stop (): void { this.isStopped = true }
 }
 
-class SwitchedPlacement extends PlacementView {
+class MutablePlacement extends PlacementView {
   served: string[] = ['orders']
-  change: () => void = () => {}
+  notifyChange: () => void = () => {}
   override listServingVms (): string[] { return [] }
   override listRanking (): string[] { return [] }
   override isServing (): boolean { return true }
   override listServedDatabases (): string[] { return this.served }
   override computeConnectionShare (): number { return 1 }
-  override subscribe (listener: () => void): void { this.change = listener }
+  override subscribe (listener: () => void): void { this.notifyChange = listener }
 }
 
 describe('services of databases on a VM', () => {
   it('let an open transaction end on a service that placement has taken away', async () => {
     const database: Database = { database: 'orders', endpoints: [], user: 'u', password: '' }
     const configuration = { findDatabase: () => database, subscribe: () => {} } as unknown as ConfigurationView
-    const placement = new SwitchedPlacement()
+    const placement = new MutablePlacement()
     const services: FakeService[] = []
     const served = new ServedDatabases({
       configuration,
@@ -47,16 +47,16 @@
     const first = services[0] as FakeService
     first.open.add('t1')
     placement.served = []
-    placement.change()
+    placement.notifyChange()
     expect(served.findService('orders', null)).to.equal(undefined)
     expect(served.findService('orders', 't1')).to.equal(first)
-    expect(first.stopped).to.equal(false)
+    expect(first.isStopped).to.equal(false)
     placement.served = ['orders']
-    placement.change()
+    placement.notifyChange()
     expect(served.findService('orders', null)).to.equal(services[1])
     expect(served.findService('orders', 't1')).to.equal(first)
-    first.endDrain()
+    first.finishDrain()
     await new Promise(resolve => setImmediate(resolve))
-    expect(first.stopped).to.equal(true)
+    expect(first.isStopped).to.equal(true)
   })
 })
--- a/packages/proxy/src/statements/served-databases.ts
+++ b/packages/proxy/src/statements/served-databases.ts
@@ -11,10 +11,10 @@
   startService: (database: Database) => DatabaseService
 }
 
-interface Served {
+interface ServedDatabase {
   service: DatabaseService
   /** The description that it was started with. */
-  description: string
+  serializedConfiguration: string
 }
 
 /**
@@ -24,9 +24,9 @@
  */
 export class ServedDatabases {
   readonly #options: ServedDatabasesOptions
-  readonly #served = new Map<string, Served>()
+  readonly #served = new Map<string, ServedDatabase>()
   readonly #draining = new Map<DatabaseService, Promise<void>>()
-  #stopped = false
+  #isStopped = false
 
   constructor (options: ServedDatabasesOptions) {
     this.#options = options
@@ -46,7 +46,7 @@
 
   /** Starts and ends services until they match placement and configuration. */
   updateServices (): void {
-    if (this.#stopped) return
+    if (this.#isStopped) return
     const wanted = new Set(this.#options.placement.listServedDatabases())
     for (const name of [...this.#served.keys()]) {
       if (!wanted.has(name)) this.#endService(name, 'placement')
@@ -56,7 +56,7 @@
 
   /** Gives up every service and resolves when all accepted statements have ended. */
   async drain (): Promise<void> {
-    this.#stopped = true
+    this.#isStopped = true
     for (const name of [...this.#served.keys()]) this.#endService(name, 'planned stop')
     await Promise.all(this.#draining.values())
   }
@@ -64,11 +64,11 @@
   #updateService (name: string): void {
     const database = this.#options.configuration.findDatabase(name)
     if (database === undefined) return
-    const description = JSON.stringify(database)
+    const serializedConfiguration = JSON.stringify(database)
     const current = this.#served.get(name)
-    if (current?.description === description) return
+    if (current?.serializedConfiguration === serializedConfiguration) return
     if (current !== undefined) this.#endService(name, 'description changed')
-    this.#served.set(name, { service: this.#options.startService(database), description })
+    this.#served.set(name, { service: this.#options.startService(database), serializedConfiguration })
     this.#options.logger.info('database served', { database: name, reason: 'placement' })
   }
 
@@ -78,10 +78,10 @@
     this.#served.delete(name)
     this.#options.logger.info('database given up', { database: name, reason })
     const { service } = current
-    const ending = service.drain().catch(() => {}).finally(() => {
+    const drainCompletion = service.drain().catch(() => {}).finally(() => {
       service.stop()
       this.#draining.delete(service)
     })
-    this.#draining.set(service, ending)
+    this.#draining.set(service, drainCompletion)
   }
 }
--- a/packages/proxy/src/statements/statement-router.ts
+++ b/packages/proxy/src/statements/statement-router.ts
@@ -5,9 +5,9 @@
 import type { RemoteStatements } from './remote-statements.ts'
 
 /** Serving VMs that one statement may be offered to. */
-const MAX_ATTEMPTS = 3
+const MAX_VM_ATTEMPTS = 3
 /** When a caller should come back after no VM could serve its database. */
-const NO_VM_RETRY_MS = 500
+const NO_SERVING_VM_RETRY_AFTER_MS = 500
 
 export interface StatementRouterOptions {
   self: string
@@ -34,71 +34,71 @@
 export function createStatementRouter (options: StatementRouterOptions): StatementRouter {
   const { self, placement, remote, findService } = options
   return {
-    run: (request, pinnedVm) => runRouted(options, request, pinnedVm),
+    run: (request, pinnedVm) => runOnCandidates(options, request, pinnedVm),
     abandon: (vm, database, transactionId) => {
       if (vm === self) findService(database, transactionId)?.abandon(transactionId)
       else remote.abandon(vm, database, transactionId)
     }
   }
 
-  async function * runRouted (o: StatementRouterOptions, request: StatementRequest, pinnedVm: string | null): AsyncGenerator<RoutedFrame, void, void> {
-    const candidates = pinnedVm === null ? placement.listServingVms(request.database).slice(0, MAX_ATTEMPTS) : [pinnedVm]
-    const deadlineMs = o.clock.readNow() + request.timeoutMs
+  async function * runOnCandidates (routerOptions: StatementRouterOptions, request: StatementRequest, pinnedVm: string | null): AsyncGenerator<RoutedFrame, void, void> {
+    const candidates = pinnedVm === null ? placement.listServingVms(request.database).slice(0, MAX_VM_ATTEMPTS) : [pinnedVm]
+    const deadlineMs = routerOptions.clock.readNow() + request.timeoutMs
     for (const vm of candidates) {
-      const timeoutMs = deadlineMs - o.clock.readNow()
+      const timeoutMs = deadlineMs - routerOptions.clock.readNow()
       if (timeoutMs <= 0) break
-      o.logger.debug('statement routed to VM', { request: request.requestId, workspace: request.workspace, database: request.database, vm, reason: pinnedVm === null ? 'placement' : 'transaction' })
-      const outcome = yield * runAttempt(o, vm, { ...request, timeoutMs })
+      routerOptions.logger.debug('statement routed to VM', { request: request.requestId, workspace: request.workspace, database: request.database, vm, reason: pinnedVm === null ? 'placement' : 'transaction' })
+      const outcome = yield * runAttempt(routerOptions, vm, { ...request, timeoutMs })
       if (outcome === 'answered') return
     }
-    yield { vm: self, frame: describeNoVm(request) }
+    yield { vm: self, frame: createNoServingVmRefusal(request) }
   }
 }
 
 type AttemptOutcome = 'answered' | 'not run'
 
 async function * runAttempt (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<RoutedFrame, AttemptOutcome, void> {
-  let answered = false
+  let hasResponded = false
   try {
-    for await (const frame of openFrames(options, vm, request)) {
+    for await (const frame of runOnVm(options, vm, request)) {
       if (frame.kind === 'notServing') return 'not run'
-      answered = true
+      hasResponded = true
       yield { vm, frame }
     }
     return 'answered'
   } catch (error) {
     if (error instanceof StreamNotStartedError) return 'not run'
     if (!(error instanceof StreamLostError)) throw error
-    options.logger.info('serving VM lost', { request: request.requestId, vm, answered })
-    if (!answered && canRepeat(request)) return 'not run'
-    yield { vm, frame: describeLoss(request) }
+    options.logger.info('serving VM lost', { request: request.requestId, vm, answered: hasResponded })
+    if (!hasResponded && canRetry(request)) return 'not run'
+    yield { vm, frame: createLinkLossRefusal(request) }
     return 'answered'
   }
 }
 
-function openFrames (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+function runOnVm (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
   if (vm !== options.self) return options.remote.run(vm, request)
   const service = options.findService(request.database, request.transactionId)
-  return service === undefined ? answerNotServing() : service.run(request)
+  return service === undefined ? respondNotServing() : service.run(request)
 }
 
-async function * answerNotServing (): AsyncGenerator<AnswerFrame, void, void> {
+async function * respondNotServing (): AsyncGenerator<AnswerFrame, void, void> {
   yield { kind: 'notServing' }
 }
 
 /** Reads have no effect, a named write is recorded with its effect, and a begin leaves nothing that outlives its VM. */
-function canRepeat (request: StatementRequest): boolean {
+function canRetry (request: StatementRequest): boolean {
   if (request.transactionId !== null) return false
   return request.class === 'read' || request.class === 'begin' || request.writeId !== null
 }
 
-function describeLoss (request: StatementRequest): AnswerFrame {
-  const inTransaction = request.transactionId !== null && request.class !== 'commit'
-  if (inTransaction) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction was lost' } }
+function createLinkLossRefusal (request: StatementRequest): AnswerFrame {
+  const isInTransaction = request.transactionId !== null && request.class !== 'commit'
+  if (isInTransaction) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction was lost' } }
   return { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: 'the serving VM was lost before its answer was whole' } }
 }
 
-function describeNoVm (request: StatementRequest): AnswerFrame {
+function createNoServingVmRefusal (request: StatementRequest): AnswerFrame {
   if (request.transactionId !== null) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction no longer serves it' } }
-  return { kind: 'refused', refusal: { kind: 'notRunRetry', reason: 'no VM serves the database now', retryAfterMs: NO_VM_RETRY_MS } }
+  return { kind: 'refused', refusal: { kind: 'notRunRetry', reason: 'no VM serves the database now', retryAfterMs: NO_SERVING_VM_RETRY_AFTER_MS } }
 }
--- a/packages/proxy/src/statements/statement-server.ts
+++ b/packages/proxy/src/statements/statement-server.ts
@@ -1,6 +1,6 @@
 import type { AnswerFrame, Logger, PeerNetwork, StatementMessage, StatementRequest } from '@camphorpitch/wire'
 import type { FindService } from './database-service.ts'
-import { FRAME_WINDOW } from './frame-channel.ts'
+import { INITIAL_CREDIT_FRAMES } from './frame-channel.ts'
 
 export const STATEMENTS_SLICE = 'statements'
 
@@ -14,8 +14,8 @@
   vm: string
   frames: AsyncGenerator<AnswerFrame, void, void>
   credit: number
-  cancelled: boolean
-  wake: (() => void) | undefined
+  isCancelled: boolean
+  wakeSender: (() => void) | undefined
 }
 
 /** Runs statements that other VMs forward to this one. */
@@ -25,7 +25,7 @@
 
   constructor (options: StatementServerOptions) {
     this.#options = options
-    options.peers.subscribeLoss(vm => this.#cancelStreamsOf(vm))
+    options.peers.subscribeLoss(vm => this.#cancelStreamsFrom(vm))
   }
 
   handleMessage (vm: string, message: Exclude<StatementMessage, { type: 'frame' }>): void {
@@ -47,27 +47,27 @@
       this.#sendFrame(vm, stream, { kind: 'notServing' }, true)
       return
     }
-    const served: ServedStream = { vm, frames: service.run(request), credit: FRAME_WINDOW, cancelled: false, wake: undefined }
+    const served: ServedStream = { vm, frames: service.run(request), credit: INITIAL_CREDIT_FRAMES, isCancelled: false, wakeSender: undefined }
     const key = `${vm}/${stream}`
     this.#streams.set(key, served)
     this.#sendFrames(vm, stream, served)
-      .catch(error => this.#handleFailure(vm, stream, error))
+      .catch(error => this.#handleStreamFailure(vm, stream, error))
       .finally(() => this.#streams.delete(key))
   }
 
   async #sendFrames (vm: string, stream: number, served: ServedStream): Promise<void> {
     for await (const frame of served.frames) {
       await this.#waitForCredit(served)
-      if (served.cancelled) return
+      if (served.isCancelled) return
       served.credit -= 1
       this.#sendFrame(vm, stream, frame, false)
     }
-    if (!served.cancelled) this.#sendFrame(vm, stream, null, true)
+    if (!served.isCancelled) this.#sendFrame(vm, stream, null, true)
   }
 
   async #waitForCredit (served: ServedStream): Promise<void> {
-    while (served.credit <= 0 && !served.cancelled) {
-      await new Promise<void>(resolve => { served.wake = resolve })
+    while (served.credit <= 0 && !served.isCancelled) {
+      await new Promise<void>(resolve => { served.wakeSender = resolve })
     }
   }
 
@@ -75,10 +75,10 @@
     const served = this.#streams.get(`${vm}/${stream}`)
     if (served === undefined) return
     served.credit += frames
-    served.wake?.()
+    served.wakeSender?.()
   }
 
-  #cancelStreamsOf (vm: string): void {
+  #cancelStreamsFrom (vm: string): void {
     for (const [key, served] of this.#streams) {
       if (served.vm === vm) this.#cancelStream(key)
     }
@@ -87,12 +87,12 @@
   #cancelStream (key: string): void {
     const served = this.#streams.get(key)
     if (served === undefined) return
-    served.cancelled = true
-    served.wake?.()
+    served.isCancelled = true
+    served.wakeSender?.()
     served.frames.return().catch(() => {})
   }
 
-  #handleFailure (vm: string, stream: number, error: unknown): void {
+  #handleStreamFailure (vm: string, stream: number, error: unknown): void {
     this.#options.logger.error('forwarded statement failed', { vm, error: error instanceof Error ? error.stack : String(error) })
     this.#sendFrame(vm, stream, { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: 'the serving VM failed' } }, true)
   }
