--- a/packages/proxy/src/membership/decision.ts
+++ b/packages/proxy/src/membership/decision.ts
@@ -6,27 +6,30 @@
 import { compareViews, sendViewToUnknownVms, sendView } from './sync.ts'
 import { applyUpdate, dropSuspicion, selectUpdatesFor, scheduleGossip, setLeaving, type DecisionContext } from './updates.ts'
 
-/** Time between `tick` messages. */
+/** Time between `tick` inputs. */
 export const TICK_INTERVAL_MS = 250
-/** A tick so much later than due means that this process, not its peers, was held up. */
+/** A tick that is late by this much means that this process was paused, rather than that its peers were slow. */
 const PAUSE_THRESHOLD_MS = 500
-/** Time after a pause in which messages that waited are read before anybody is suspected. */
+/** Time after a pause to read the messages that arrived meanwhile, before this VM suspects a member. */
 const PAUSE_RECOVERY_MS = 2_000
-/** Members that each tick passes news to. */
+/** Members to which each tick sends gossip. */
 const GOSSIP_FANOUT = 3
-/** Members that read the platform's list often on behalf of all. */
+/** Number of VMs that read the platform's list at the short interval on behalf of the fleet. */
 const POLLER_COUNT = 3
 const POLL_INTERVAL_MS = 1_000
+/** Interval at which the other VMs read the platform's list. */
 const BACKGROUND_POLL_INTERVAL_MS = 60_000
-/** A dead member that the platform has not listed for this long is forgotten. */
+/** A dead member is removed once the platform has not listed it for this long. */
 const UNLISTED_RETENTION_MS = 600_000
 
 /**
- * Decides on one message of the membership slice.
+ * Handles one input of the membership slice.
+ *
+ * Changes `state` in place and returns it with the effects to run. `nowMs` is monotonic.
  *
  * Failure detection follows SWIM (Das, Gupta and Motivala, 2002) and the local health awareness of
- * Lifeguard (Dadgar, Phillips and Currey, 2018). Each VM probes its next members on a hash ring, so
- * its cost and its links do not grow with the fleet.
+ * Lifeguard (Dadgar, Phillips and Currey, 2018). Each VM probes its successors on a hash ring, so the
+ * work and the number of links per VM do not grow with the fleet.
  */
 export function decideMembership (state: MembershipState, input: MembershipInput, nowMs: number): Step<MembershipState, MembershipEffect> {
   const context: DecisionContext = { state, nowMs, effects: [] }
@@ -66,7 +69,10 @@
   sendGossip(context)
 }
 
-/** After a pause of this process, silence says nothing about others. */
+/**
+ * Detects by a late tick that this process was paused. Missing acks then say nothing about other members, so
+ * probes in flight are discarded and suspicions extended by the delay.
+ */
 function checkPause ({ state, nowMs }: DecisionContext): void {
   if (state.lastTickMs === null) return
   const lateMs = nowMs - state.lastTickMs - TICK_INTERVAL_MS
@@ -76,7 +82,11 @@
   for (const vm of state.suspected) state.members.get(vm)!.suspectedAtMs += lateMs
 }
 
-/** Decides anew after a change of members whether this VM polls for all, and if so begins at once. */
+/**
+ * Decides after a change of the ring whether this VM is one of the pollers. A VM that becomes one polls at once.
+ *
+ * All VMs hash the same name, so those with the same view agree on the pollers.
+ */
 function updatePollerRole ({ state, nowMs }: DecisionContext): void {
   const ring = readRing(state)
   if (state.pollerRing === ring) return
@@ -124,7 +134,7 @@
   }
 }
 
-/** What a VM learns while it joins is news to itself only. */
+/** Discards the gossip queued while joining, since the other members know it already; only this VM's record is new to them. */
 function finishJoin (state: MembershipState): void {
   if (state.hasSynced) return
   state.hasSynced = true
@@ -159,12 +169,12 @@
   withdrawAccusation(context, target)
 }
 
-/** An ack ends this VM's own accusation; those of others end when the member refutes them. */
+/** Withdraws this VM's accusation after an ack; those of others end when the member refutes them. */
 function withdrawAccusation (context: DecisionContext, target: MemberRecord): void {
   const { self } = context.state
   if (target.isDead || !target.accusers.includes(self.vm)) return
   target.accusers = target.accusers.filter(a => a !== self.vm)
-  if (target.accusers.length === 0) dropSuspicion(context, target, 'answered')
+  if (target.accusers.length === 0) dropSuspicion(context, target, 'probe acknowledged')
 }
 
 function forwardPing (context: DecisionContext, requester: MemberRecord, sequence: number, vm: string): void {
@@ -176,7 +186,7 @@
   effects.push({ type: 'send', to, body: { type: 'ping', sequence: state.sequence, updates: selectUpdatesFor(state, vm) } })
 }
 
-/** Takes the platform's list as a hint: whom to contact, who leaves, who may be forgotten. */
+/** Uses the platform's list, which may be out of date, only for VMs to contact, members that leave and dead members to remove. */
 function applyPlatformList (context: DecisionContext, vms: readonly Vm[]): void {
   const { state } = context
   const listedVms = new Map(vms.map(v => [v.vm, v]))
@@ -188,6 +198,7 @@
   applyListedStateOfSelf(context, listedVms.get(state.self.vm)?.state)
 }
 
+/** Removes a dead member that the platform has not listed for `UNLISTED_RETENTION_MS`. */
 function expireUnlistedMember ({ state, nowMs }: DecisionContext, record: MemberRecord, isListed: boolean): void {
   if (isListed) {
     record.unlistedSinceMs = null
@@ -200,7 +211,7 @@
   state.gossip.delete(record.vm)
 }
 
-/** Follows what the platform says of this VM itself, unless it has announced its own leaving. */
+/** Applies the platform's state for this VM, unless this VM has announced by itself that it leaves. */
 function applyListedStateOfSelf (context: DecisionContext, listedState: Vm['state'] | undefined): void {
   const { state } = context
   const { self } = state
@@ -224,10 +235,10 @@
   state.self.isLeaving = isLeaving
   state.self.incarnation += 1
   scheduleGossip(state, state.self.vm)
-  effects.push({ type: 'changed', member: describeMember(state.self), reason: isLeaving ? 'leaving' : 'staying' })
+  effects.push({ type: 'changed', member: describeMember(state.self), reason: isLeaving ? 'leaving' : 'no longer listed as leaving' })
 }
 
-/** Probes at once a member that would be probed anyway; idle links to others are lost without meaning. */
+/** Probes a member at once if this VM probes it in each round; links to other members may also close because they are idle. */
 function handleLinkLoss (context: DecisionContext, vm: string): void {
   const record = context.state.members.get(vm)
   if (record !== undefined && listRegularTargets(context).includes(record)) startProbe(context, record, false)
--- a/packages/proxy/src/membership/membership-actor.test.ts
+++ b/packages/proxy/src/membership/membership-actor.test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('startMembership', () => {
-  it('finds the others through the list, tells them of leaving, and drops a dead VM', async () => {
+  it('finds the other VMs through the platform\'s list, announces that it leaves, and removes a dead VM', async () => {
     const logger = createLogger({ process: 'test', level: 'silent' })
     const vms: Vm[] = [1, 2, 3, 4].map(i => ({ vm: `vm-${i}`, host: '127.0.0.1', peerPort: i, failureDomain: 'domain-a', region: 'default', state: 'live' }))
     const systems = vms.map(() => start())
--- a/packages/proxy/src/membership/membership-actor.ts
+++ b/packages/proxy/src/membership/membership-actor.ts
@@ -6,8 +6,9 @@
 import { createMembershipState, listLiveMembers, type MembershipEffect, type MembershipState } from './state.ts'
 
 const SLICE = 'membership'
-/** Time that peers are given to hear that this VM leaves. */
+/** Time for peers to learn that this VM leaves. */
 const LEAVE_PROPAGATION_MS = 4 * TICK_INTERVAL_MS
+/** Longest time to wait for another member's view at start. */
 const JOIN_TIMEOUT_MS = 5_000
 const JOIN_CHECK_INTERVAL_MS = 20
 
@@ -19,15 +20,15 @@
   objectClient: Pick<ObjectClient, 'listVms'>
   /** This VM, with the address at which peers reach it; `incarnation` as in its hello. */
   self: Omit<Member, 'state'>
-  /** Seed of the choice of members to probe. */
+  /** Seed of the choice of members to probe and to gossip with. */
   seed: number
 }
 
 /** Membership of a running VM. */
 export abstract class RunningMembership extends MembershipView {
-  /** Announces that this VM takes no new work; resolves once peers had time to hear it. */
+  /** Announces that this VM accepts no new work. Resolves after the time that peers need to learn of it. */
   abstract leave (): Promise<void>
-  /** Resolves once another member has told its view, the list shows no other VM, or that took too long. */
+  /** Resolves once another member's view was received, the platform lists no other VM, or a timeout has passed. Never rejects. */
   abstract waitJoined (): Promise<void>
   abstract stop (): void
 }
@@ -35,7 +36,8 @@
 /**
  * Joins the fleet and keeps the view of its members.
  *
- * The view is complete but for this VM's own probes as soon as one listed VM has answered.
+ * Once one listed VM has sent its view, this VM's view is as complete as that one; only the results of local
+ * probes are missing.
  *
  * @example const membership = startMembership({ system, clock, logger, peers, objectClient, self, seed: 1 })
  */
@@ -48,12 +50,12 @@
   readonly #slice: SliceActor<MembershipState, MembershipInput>
   readonly #listeners: Array<() => void> = []
   readonly #timer: NodeJS.Timeout
-  /** Members as of the last change; `null` when they must be listed anew. */
+  /** Result of `listMembers` since the last change; `null` when the members must be listed again. */
   #members: readonly Member[] | null = null
   #membersByVm: Map<string, Member> | null = null
   #isTickPending = false
   #isPolling = false
-  /** The list shows no other VM. */
+  /** Whether the platform lists no other VM. */
   #isOnlyListedVm = false
 
   constructor (options: MembershipOptions) {
@@ -100,7 +102,7 @@
     const deadlineMs = clock.readNow() + JOIN_TIMEOUT_MS
     while (!this.#slice.readState().hasSynced && !this.#isOnlyListedVm) {
       if (clock.readNow() > deadlineMs) {
-        logger.warn('joined no other member in time', { vm: self.vm })
+        logger.warn('join timed out without a view from another member', { vm: self.vm })
         return
       }
       await new Promise(resolve => setTimeout(resolve, JOIN_CHECK_INTERVAL_MS))
@@ -112,7 +114,7 @@
     this.#slice.stop()
   }
 
-  /** At most one tick waits, so that a busy process does not take a queue of them for time gone by. */
+  /** Queues at most one tick, so that a busy process does not handle a backlog of ticks as if their intervals had passed. */
   #tellTick (): void {
     if (this.#isTickPending) return
     this.#isTickPending = true
@@ -127,7 +129,7 @@
   #handleMessage (from: string, body: unknown): void {
     const message = membershipMessageSchema.safeParse(body)
     if (message.success) this.#slice.tell({ type: 'received', from, body: message.data })
-    else this.#options.logger.warn('malformed membership message', { from })
+    else this.#options.logger.warn('malformed membership message ignored', { from })
   }
 
   #runEffect (effect: MembershipEffect): void {
@@ -146,7 +148,7 @@
     }
   }
 
-  /** Sends by name to members that others may ask for, by address to VMs that are unknown or dead. */
+  /** Sends by name to the members that `findMember` returns, and by address to VMs that are dead or unknown. */
   #send ({ to, body }: Extract<MembershipEffect, { type: 'send' }>): void {
     const { peers } = this.#options
     if (this.findMember(to.vm) === undefined) peers.sendTo(to.host, to.peerPort, SLICE, body)
@@ -174,7 +176,7 @@
     try {
       return (await this.#options.objectClient.listVms()).vms
     } catch (error) {
-      this.#options.logger.warn('list of VMs was not read', { error: String(error) })
+      this.#options.logger.warn('VM list request failed', { error: String(error) })
       return null
     }
   }
--- a/packages/proxy/src/membership/membership-view.ts
+++ b/packages/proxy/src/membership/membership-view.ts
@@ -5,22 +5,22 @@
   peerPort: number
   failureDomain: string
   region: string
-  /** Incarnation of its process, as in its hello. */
+  /** Incarnation of the VM's process, as in its hello. */
   incarnation: number
-  /** `suspected` members keep their places until the suspicion is confirmed. */
+  /** `suspected` members keep the databases placed on them until their death is confirmed. */
   state: 'live' | 'suspected' | 'leaving' | 'dead'
 }
 
-/** What other slices may ask of membership. */
+/** Read access to the fleet's members for other slices. */
 export abstract class MembershipView {
   /** All members that are not dead, this VM included. */
   abstract listMembers (): readonly Member[]
   abstract findMember (vm: string): Member | undefined
-  /** Calls `listener` after each change. */
+  /** Calls `listener` after each change of a member. */
   abstract subscribe (listener: () => void): void
 }
 
-/** Members that may be given new work. */
+/** Lists the members that may be given new work: live and suspected ones. */
 export function listPlaceable (members: readonly Member[]): Member[] {
   return members.filter(m => m.state === 'live' || m.state === 'suspected')
 }
--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -12,7 +12,7 @@
   return fleet
 }
 
-/** Runs until `isDone`, at most `limitMs` of virtual time; tells how long it took. */
+/** Runs the fleet until `isDone`, for at most `limitMs` of virtual time. Returns the time that passed, in milliseconds. */
 function runUntil (fleet: VirtualFleet, limitMs: number, isDone: () => boolean): number {
   const startMs = fleet.nowMs
   while (!isDone() && fleet.nowMs - startMs < limitMs) fleet.run(1_000)
@@ -23,7 +23,7 @@
   return Number(vm.slice('vm-'.length))
 }
 
-/** One suspicion by one VM is enough for it to hold a member for dead at once. */
+/** A decision without confirmation: a VM declares a member dead as soon as it suspects the member itself. */
 const decideNaively: DecideMembership = (state, input, nowMs) => {
   const step = decideMembership(state, input, nowMs)
   for (const vm of state.suspected) {
@@ -39,7 +39,7 @@
 }
 
 describe('membership under faults', () => {
-  it('holds no running VM for dead at 30% loss, in 400 runs', () => {
+  it('confirms no running VM dead at 30% message loss, in 400 runs', () => {
     for (let seed = 1; seed <= 400; seed++) {
       const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3 })
       fleet.run(20_000)
@@ -47,7 +47,7 @@
     }
   })
 
-  it('would hold running VMs for dead at 30% loss without confirmation', () => {
+  it('would declare running VMs dead at 30% message loss without confirmation by other VMs', () => {
     let deaths = 0
     for (let seed = 1; seed <= 20; seed++) {
       const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3, decide: decideNaively })
@@ -57,7 +57,7 @@
     expect(deaths).to.be.above(0)
   })
 
-  it('finds a dead VM everywhere within the bound, in 300 runs with loss up to 20%', () => {
+  it('removes a stopped VM from every view within 40 s and no running VM, in 300 runs with up to 20% message loss', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size, { loss: (seed % 3) * 0.1 })
@@ -69,7 +69,7 @@
     }
   })
 
-  it('converges after loss, pauses, restarts and cuts together, in 400 runs', () => {
+  it('converges after a mix of message loss, pauses, restarts and partitions, in 400 runs', () => {
     for (let seed = 1; seed <= 400; seed++) {
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size)
@@ -83,7 +83,7 @@
   })
 })
 
-/** Twelve seeded faults, one after the other. */
+/** Injects twelve seeded faults one after the other, and then starts the VMs that are stopped. */
 function injectFaults (fleet: VirtualFleet, size: number): void {
   for (let i = 0; i < 12; i++) {
     const vm = `vm-${Math.floor(fleet.pickRandom() * size)}`
@@ -105,7 +105,7 @@
 }
 
 describe('membership', () => {
-  it('keeps VMs for live that another saw through a pause of its own', () => {
+  it('does not let a VM suspect others after its own process was paused, and converges', () => {
     const fleet = startFleet(3, 9)
     fleet.pauseVm('vm-4', 60_000)
     fleet.run(60_000)
@@ -116,7 +116,7 @@
     expect(fleet.hasConverged()).to.equal(true)
   })
 
-  it('shows the incarnation of the process, whatever the member had to refute', () => {
+  it('shows the process incarnation of a member that raised its incarnation to refute a suspicion', () => {
     const fleet = startFleet(8, 5)
     fleet.pauseVm('vm-1', 30_000)
     fleet.run(60_000)
@@ -125,7 +125,7 @@
     expect(fleet.readView('vm-0').get('vm-1')!.incarnation).to.equal(FIRST_INCARNATION)
   })
 
-  it('gives a leaving VM no new work after 3 s, by its own word or by the list', () => {
+  it('shows a VM as leaving in every view after 3 s, whether the VM announces it or the platform lists it', () => {
     for (let seed = 1; seed <= 50; seed++) {
       const fleet = startFleet(seed, 9, { loss: 0.1 })
       if (seed % 2 === 0) fleet.leave('vm-2')
@@ -136,7 +136,7 @@
     }
   })
 
-  it('does not hold the others for dead when a group that was cut off returns', () => {
+  it('confirms no further VM dead when a partitioned group reconnects', () => {
     const fleet = startFleet(5, 12)
     fleet.cut(vm => Number(parseVmIndex(vm) < REQUIRED_CONFIRMATIONS))
     fleet.run(60_000)
@@ -148,7 +148,7 @@
     expect(fleet.deaths.slice(before)).to.deep.equal([])
   })
 
-  it('lets a group of three of nine that is cut off agree on the others before suspicions lapse', () => {
+  it('lets both sides of a partition into three and six VMs confirm the other side dead before suspicions expire', () => {
     const fleet = startFleet(9, 9)
     fleet.cut(vm => Number(parseVmIndex(vm) % 3 === 0))
     runUntil(fleet, 20_000, () => fleet.readView('vm-0').size === 3 && fleet.readView('vm-1').size === 6)
@@ -156,7 +156,7 @@
     expect(fleet.readView('vm-1').size).to.equal(6)
   })
 
-  it('refutes what is left of an earlier life with a later clock', () => {
+  it('lets a restarted VM refute the records of its earlier process, whose clock was ahead', () => {
     const fleet = startFleet(6, 5)
     fleet.stopVm('vm-1')
     fleet.run(30_000)
@@ -167,7 +167,7 @@
     expect(fleet.hasConverged()).to.equal(true)
   })
 
-  it('forgets a dead VM that the platform no longer lists', () => {
+  it('stays converged after the platform no longer lists a dead VM, and computes the minimum suspicion of a small fleet', () => {
     const fleet = startFleet(7, 5)
     fleet.stopVm('vm-1')
     fleet.removeFromList('vm-1')
--- a/packages/proxy/src/membership/placement-actor.ts
+++ b/packages/proxy/src/membership/placement-actor.ts
@@ -14,7 +14,7 @@
 }
 
 /**
- * Places databases on the members that membership knows.
+ * Assigns databases to members by rendezvous hashing, and updates this when members or databases change.
  *
  * @example const placement = createPlacement({ membership, configuration, self, logger })
  */
@@ -26,9 +26,9 @@
   readonly #options: PlacementOptions
   readonly #listeners: Array<() => void> = []
   readonly #table = new PlacementTable()
-  /** Serving VMs by database, the nearest first. */
+  /** Serving VMs by database, nearest first. */
   readonly #servingVmsByNearness = new Map<string, readonly string[]>()
-  /** Serving VMs by database, in the order of the hash. */
+  /** Serving VMs by database, in the order on which all VMs with the same members agree. */
   readonly #servingVmsByRank = new Map<string, readonly string[]>()
   #servedDatabases: readonly string[] = []
 
@@ -84,7 +84,7 @@
     for (const listener of this.#listeners) listener()
   }
 
-  /** Logs one line where this VM begins or ceases to serve the database; other changes at debug level. */
+  /** Logs at info level if this VM starts or stops serving the database, and otherwise at debug level. */
   #updateServingVms (database: string, reason: string): void {
     const { logger, self } = this.#options
     const wasServing = this.isServing(database)
@@ -93,6 +93,6 @@
     this.#servingVmsByRank.set(database, selected.map(c => c.vm))
     this.#servingVmsByNearness.set(database, servingVms)
     const isServing = this.isServing(database)
-    logger.log(isServing === wasServing ? 'debug' : 'info', 'database placed', { database, servingVms, isServing, reason })
+    logger.log(isServing === wasServing ? 'debug' : 'info', 'serving VMs of database changed', { database, servingVms, isServing, reason })
   }
 }
--- a/packages/proxy/src/membership/placement-table.test.ts
+++ b/packages/proxy/src/membership/placement-table.test.ts
@@ -18,7 +18,7 @@
 const changes: fc.Arbitrary<Change[]> = fc.array(fc.oneof(members.map(m => ({ members: m })), databases.map(d => ({ databases: d }))), { maxLength: 12 })
 
 describe('PlacementTable', () => {
-  it('selects after any changes what a selection from scratch would, and names every change', () => {
+  it('equals a selection from scratch after any changes, and returns every database whose selection changed', () => {
     fc.assert(fc.property(changes, list => {
       const table = new PlacementTable()
       let currentMembers: Candidate[] = []
--- a/packages/proxy/src/membership/placement-table.ts
+++ b/packages/proxy/src/membership/placement-table.ts
@@ -8,21 +8,26 @@
 }
 
 interface PlacementEntry extends PlacedDatabase {
+  /** Hash of the database's name. */
   key: number
-  /** In the order of the hash. */
+  /** Serving VMs in the order in which they were selected. */
   selected: readonly Candidate[]
 }
 
 /**
  * The serving VMs of every database, kept up to date as members and databases come and go.
  *
- * A change of one member recomputes only the databases that it may serve, as if all were selected anew.
+ * A change of members recomputes only the databases that it can affect; the result equals a new selection for all.
  */
 export class PlacementTable {
   readonly #members = new Map<string, HashedCandidate>()
   readonly #entries = new Map<string, PlacementEntry>()
 
-  /** Takes the members that may serve; returns the databases whose serving VMs changed. */
+  /**
+   * Replaces the members that may serve databases.
+   *
+   * @returns the databases whose serving VMs changed
+   */
   replaceMembers (members: readonly Candidate[]): string[] {
     const current = new Map(hashCandidates(members).map(m => [m.candidate.vm, m]))
     const removed = [...this.#members.values()].filter(m => current.get(m.candidate.vm)?.location !== m.location)
@@ -35,7 +40,11 @@
     return this.#updateSelections(affected)
   }
 
-  /** Takes the databases to place; returns those whose serving VMs changed, dropped ones included. */
+  /**
+   * Replaces the databases to place.
+   *
+   * @returns the databases whose serving VMs changed, including removed databases
+   */
   replaceDatabases (databases: readonly PlacedDatabase[]): string[] {
     const wanted = new Map(databases.map(d => [d.database, d]))
     const dropped = [...this.#entries.keys()].filter(name => !wanted.has(name))
@@ -51,7 +60,7 @@
     return [...dropped, ...this.#updateSelections(changed)]
   }
 
-  /** Serving VMs in the order of the hash; none for an unknown database. */
+  /** Serving VMs in the order in which they were selected; empty for an unknown database. */
   listSelected (database: string): readonly Candidate[] {
     return this.#entries.get(database)?.selected ?? []
   }
@@ -78,7 +87,10 @@
   return added.some(m => hashPair(entry.key, m.hash) >= lowestWeight)
 }
 
-/** Whether only a VM of a higher weight can still enter: enough VMs, each in a wanted region of its own. */
+/**
+ * Whether a new member can enter the selection only by a higher weight: there are enough VMs, and each is
+ * in a region of its own that is one of the wanted regions, if any are given.
+ */
 function isFullySpread ({ selected, regions }: PlacementEntry): boolean {
   if (selected.length < SERVING_VM_COUNT) return false
   if (new Set(selected.map(c => c.region)).size < selected.length) return false
--- a/packages/proxy/src/membership/placement.test.ts
+++ b/packages/proxy/src/membership/placement.test.ts
@@ -29,7 +29,7 @@
     }), { seed: SEED, numRuns: 200 })
   })
 
-  it('shares no region, then no failure domain, while another has a VM', () => {
+  it('selects VMs of as many different regions and failure domains as the candidates allow', () => {
     const members = fc.uniqueArray(fc.record({
       vm: fc.integer({ max: 500 }).map(i => `vm-${i}`),
       failureDomain: fc.integer({ min: 0, max: 8 }).map(i => `domain-${i}`)
@@ -43,7 +43,7 @@
     }), { seed: SEED, numRuns: 1_000 })
   })
 
-  it('prefers the regions of the endpoints', () => {
+  it('prefers VMs in the regions of the endpoints', () => {
     const members = makeCandidates(30, 9, 3)
     for (let i = 0; i < 100; i++) {
       const selected = selectServingVms(`db-${i}`, members, { regions: ['region-1'] })
@@ -52,7 +52,7 @@
     }
   })
 
-  it('moves no more than the share of the VM that comes or goes', () => {
+  it('moves between half and twice the average share of one VM when a VM joins or leaves', () => {
     const members = makeCandidates(90, 9, 3)
     const fewer = members.filter(m => m.vm !== 'vm-17')
     const share = 1 / members.length
@@ -60,7 +60,7 @@
     expect(countMoved(fewer, members, 1_500)).to.be.within(share / 2, share * 2)
   })
 
-  it('spreads databases over the VMs', () => {
+  it('assigns databases to every VM, and to none twice the average or more', () => {
     const members = makeCandidates(90, 9, 3)
     const loads = new Map<string, number>()
     for (let i = 0; i < 3_000; i++) {
@@ -71,8 +71,8 @@
   })
 })
 
-describe('computeShare', () => {
-  it('leaves room for control connections and one VM more than serve', () => {
+describe('computeStatementConnections', () => {
+  it('leaves room for control connections and for one VM more than those that serve', () => {
     for (let max = 12; max <= 200; max++) {
       const perVm = computeStatementConnections(max) + CONTROL_CONNECTIONS_PER_VM
       expect(perVm * (SERVING_VM_COUNT + 1)).to.be.at.most(max)
--- a/packages/proxy/src/membership/placement.ts
+++ b/packages/proxy/src/membership/placement.ts
@@ -1,6 +1,6 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
 
-/** What placement needs of a member. */
+/** A VM that placement may select. */
 export interface Candidate {
   vm: string
   failureDomain: string
@@ -8,25 +8,25 @@
 }
 
 export interface SelectOptions {
-  /** VMs that serve a database. */
+  /** Number of VMs to select, `SERVING_VM_COUNT` by default. */
   count?: number
-  /** Regions of the database's endpoints; VMs elsewhere are taken only where these have too few. */
+  /** Regions of the database's endpoints; VMs in other regions are selected only if these have too few. */
   regions?: readonly string[]
 }
 
-/** VMs that serve one database. */
+/** Number of VMs that serve one database. */
 export const SERVING_VM_COUNT = 3
-/** Connections per serving VM and instance that probe and steer the group. */
+/** Connections of each serving VM to each instance for health probes and group control. */
 export const CONTROL_CONNECTIONS_PER_VM = 2
-/** VMs beyond `SERVING_VM_COUNT` that may hold connections while a database changes hands. */
+/** VMs beyond `SERVING_VM_COUNT` that may hold connections while another VM takes over a database. */
 export const HANDOVER_VM_COUNT = 1
 
 /**
  * Selects the VMs that serve a database, by rendezvous hashing.
  *
- * Regions are spread first, then failure domains: no two VMs share one while another is free. Every
- * VM with the same members selects the same, in the same order, and a member that comes or goes
- * moves only the databases that it takes or gives up.
+ * The selection covers as many regions as possible, then as many failure domains: no two VMs share one
+ * while another is unused. Every VM with the same members selects the same VMs in the same order, and a
+ * member that joins or leaves moves only the databases that it then serves or served before.
  *
  * @example selectServingVms('orders', members, { count: 3 }) // ['vm-4', 'vm-1', 'vm-9']
  */
@@ -34,7 +34,7 @@
   return selectFromHashedCandidates(database, hashCandidates(members), options).map(c => c.vm)
 }
 
-/** As `selectServingVms`, for members that were hashed before. */
+/** Selects serving VMs like `selectServingVms`, from members that are hashed already. */
 export function selectFromHashedCandidates (database: string, members: readonly HashedCandidate[], options: SelectOptions = {}): Candidate[] {
   const { count = SERVING_VM_COUNT, regions = [] } = options
   const ranked = rankCandidates(database, members, count)
@@ -48,11 +48,11 @@
   return selected
 }
 
-/** A candidate with the hash of its name, computed once for all databases. */
+/** A candidate with the hash of its name, which is computed once for all databases. */
 export interface HashedCandidate {
   candidate: Candidate
   hash: number
-  /** Region and failure domain. */
+  /** Region and failure domain, as `region/failureDomain`. */
   location: string
 }
 
@@ -66,9 +66,9 @@
 }
 
 /**
- * The candidates that can be selected, by descending weight for the database.
+ * Lists the candidates that can be selected, by descending weight for the database.
  *
- * At most `count` are taken from one place, so more than its `count` best need not be ordered.
+ * At most `count` candidates of one location can be selected, so only its `count` best are ordered.
  */
 function rankCandidates (database: string, members: readonly HashedCandidate[], count: number): Candidate[] {
   const key = hashName(database)
@@ -82,7 +82,7 @@
   return [...bestByLocation.values()].flat().sort(compareRanked).map(r => r.candidate)
 }
 
-/** Adds to an ordered list of at most `count`. */
+/** Inserts a candidate into a list by descending weight, which keeps at most `count`. */
 function insertRanked (rankedList: RankedCandidate[], ranked: RankedCandidate, count: number): void {
   if (rankedList.length >= count && compareRanked(rankedList.at(-1)!, ranked) < 0) return
   const index = rankedList.findIndex(r => compareRanked(ranked, r) < 0)
@@ -94,7 +94,7 @@
   return b.weight - a.weight || compareNames(a.candidate.vm, b.candidate.vm)
 }
 
-/** Adds the best candidates whose `readGroup` none of the selected shares, up to `count`. */
+/** Adds the best candidates whose key no selected candidate shares, until `count` are selected. */
 function addDistinct (selected: Candidate[], ranked: readonly Candidate[], count: number, readKey: (c: Candidate) => string): void {
   const takenKeys = new Set(selected.map(readKey))
   for (const c of ranked) {
@@ -110,8 +110,9 @@
 }
 
 /**
- * Orders serving VMs for one VM that sends to them: itself, then its failure domain, its region, the
- * others. Equally near ones are ordered by a hash of the pair, so that senders spread.
+ * Creates a comparator that orders serving VMs for the VM `self` that sends statements to them: itself, then
+ * VMs in its failure domain, in its region, and elsewhere. Equally near VMs are ordered by a hash that depends
+ * on the sender, so that senders choose different VMs.
  */
 export function createNearnessComparator (self: Candidate, database: string): (a: Candidate, b: Candidate) => number {
   const key = hashName(`${self.vm}/${database}`)
@@ -126,13 +127,13 @@
 }
 
 /**
- * Connections for statements that one serving VM may hold to an instance, at least 1.
+ * Computes how many connections for statements one serving VM may hold to an instance, at least 1.
  *
- * Room for one VM more than serve is left for hand-over, and each VM's control connections come out
- * of its own part. The count does not follow the live members, so a VM with an incomplete view never
- * takes more than its part. The instance's own limit remains the last fence.
+ * `HANDOVER_VM_COUNT` further VMs are allowed for during a takeover, and each VM's control connections are
+ * part of its share. The result does not depend on the live members, so a VM with an incomplete view
+ * never exceeds its share. The limit of the instance itself remains the last safeguard.
  *
- * @example computeShare(20) // 3
+ * @example computeStatementConnections(20) // 3
  */
 export function computeStatementConnections (maxConnections: number): number {
   const perVm = Math.floor(maxConnections / (SERVING_VM_COUNT + HANDOVER_VM_COUNT))
--- a/packages/proxy/src/membership/probes.ts
+++ b/packages/proxy/src/membership/probes.ts
@@ -4,31 +4,35 @@
 import { computeDigest } from './sync.ts'
 import { addAccusers, confirmDeath, dropSuspicion, selectUpdatesFor, scheduleGossip, type DecisionContext } from './updates.ts'
 
-/** Time between the starts of regular probes. */
+/** Time between the starts of probe rounds. */
 export const ROUND_INTERVAL_MS = 1_000
-/** Time after which a probe without an ack has failed. */
+/** A probe without an ack has failed after this time. */
 export const PROBE_TIMEOUT_MS = 1_250
 /** Time between attempts of one probe. */
 const ATTEMPT_INTERVAL_MS = 250
-/** Attempts before others are asked to help. */
+/** Attempts of a probe before other members are requested to relay it. */
 const DIRECT_ATTEMPTS = 2
-/** Members asked to help with each later attempt. */
+/** Members that are requested to relay each later attempt. */
 const RELAY_COUNT = 3
-/** Members after this VM on the ring that it probes in each round. */
+/** Number of successors on the ring that a VM probes in each round. */
 export const PROBED_SUCCESSORS = 2
-/** Members before a suspect on the ring that probe it when they hear of the suspicion. */
+/** Number of predecessors of a suspected member on the ring that probe it when they learn of the suspicion. */
 const CONFIRMER_COUNT = 4
-/** Accusers needed to confirm a death, where so many members are left. */
+/** Accusers required to confirm a death, if that many members are not suspected themselves. */
 export const REQUIRED_CONFIRMATIONS = 3
-/** Suspicion lasts this long for each power of ten in the fleet, so that the suspect can refute it. */
+/** Minimum duration of a suspicion for each power of ten of the fleet's size, so that the member has time to refute it. */
 const MIN_SUSPICION_PER_DECADE_MS = 1_500
-/** A suspicion that nobody confirms ends after this time. */
+/** A suspicion that is not confirmed within this time ends, or continues with only this VM's accusation. */
 const MAX_UNCONFIRMED_SUSPICION_MS = 20_000
-/** Rounds between probes of a random member. */
+/** Number of rounds between probes of a random member with a digest. */
 const RANDOM_PROBE_INTERVAL_ROUNDS = 5
+/** Probes beyond this limit are not started. */
 const MAX_PROBES_IN_FLIGHT = 16
 
-/** Begins the probes of one round. */
+/**
+ * Starts the probes of one round, and pings one dead member: if it is running, the ping tells it of its
+ * reported death, which it refutes.
+ */
 export function startRound (context: DecisionContext): void {
   const { state } = context
   state.roundCount += 1
@@ -43,7 +47,7 @@
   if (randomMember !== undefined) startProbe(context, randomMember, true)
 }
 
-/** Probes members that others hold for dead, as many as there is room for in this round. */
+/** Probes members that others report dead, as many as `MAX_PROBES_IN_FLIGHT` allows. */
 function probeReportedDead (context: DecisionContext): void {
   const { state } = context
   for (const vm of state.reportedDead) {
@@ -53,7 +57,7 @@
   }
 }
 
-/** The next members on the ring that are not suspected, and those that this VM suspects itself. */
+/** Lists the next members on the ring that are not suspected, and the members that this VM accuses itself. */
 export function listRegularTargets ({ state }: DecisionContext): MemberRecord[] {
   const successors = listSuccessors(readRing(state), state.self.hash, PROBED_SUCCESSORS, m => m.accusers.length === 0)
   const suspectedHere = [...state.suspected]
@@ -62,6 +66,7 @@
   return [...successors, ...suspectedHere]
 }
 
+/** Starts a probe of `target`, unless one is in flight or there are `MAX_PROBES_IN_FLIGHT`. */
 export function startProbe (context: DecisionContext, target: MemberRecord, hasDigest: boolean): void {
   const { state, nowMs } = context
   if (state.probes.has(target.vm) || state.probes.size >= MAX_PROBES_IN_FLIGHT) return
@@ -87,7 +92,7 @@
   effects.push({ type: 'send', to, body: { type: 'ping', sequence, updates: selectUpdatesFor(state, to.vm), ...digest } })
 }
 
-/** Retries or ends the probes in flight. */
+/** Retries the probes in flight that are due, ends those that timed out, and removes expired relays. */
 export function advanceProbes (context: DecisionContext): void {
   const { state, nowMs } = context
   for (const probe of [...state.probes.values()]) {
@@ -102,7 +107,7 @@
   }
 }
 
-/** Holds the missing ack against the member and tells those who can confirm it, and itself, at once. */
+/** Accuses the member, and notifies it and the members that can confirm the failure at once. */
 function handleProbeFailure (context: DecisionContext, target: MemberRecord): void {
   const { state, nowMs, effects } = context
   state.probes.delete(target.vm)
@@ -117,18 +122,19 @@
   scheduleGossip(state, target.vm)
 }
 
+/** Whether `member` is one of the unsuspected predecessors of `target` that probe it to confirm a suspicion. */
 function isConfirmer ({ state }: DecisionContext, member: MemberRecord, target: MemberRecord): boolean {
   if (member === target || member.accusers.length > 0) return false
   return isPredecessor(readRing(state), member.hash, target, CONFIRMER_COUNT, m => m.accusers.length === 0)
 }
 
-/** Probes a member that others suspect, if this VM is one of those who confirm. */
+/** Probes a member that others suspect, if this VM is one of its confirmers. */
 export function probeSuspect (context: DecisionContext, target: MemberRecord): void {
   if (target.isDead || target.accusers.includes(context.state.self.vm)) return
   if (isConfirmer(context, context.state.self, target)) startProbe(context, target, false)
 }
 
-/** Tells a member that others hold it for dead, which it refutes if it lives, and probes it. */
+/** Probes a member that others report dead, and sends it the report, which it refutes if it is running. */
 export function verifyReportedDeath (context: DecisionContext, target: MemberRecord, deathReport: MemberUpdate): void {
   const { state, effects } = context
   if (!deathReport.isDead || state.probes.has(target.vm) || state.probes.size >= MAX_PROBES_IN_FLIGHT) return
@@ -136,7 +142,10 @@
   startProbe(context, target, false)
 }
 
-/** Ends suspicions: by death when enough members confirm and the time to refute is over. */
+/**
+ * Ends suspicions whose time is over. A member is confirmed dead when it has enough accusers and has not
+ * contacted this VM during the minimum suspicion.
+ */
 export function checkSuspicions (context: DecisionContext): void {
   const { state, nowMs } = context
   if (state.suspected.size === 0 || nowMs < state.pauseRecoveryEndsMs) return
@@ -151,23 +160,30 @@
   }
 }
 
-/** Keeps no accusation but this VM's own, which ends with the next ack. */
+/**
+ * Ends a suspicion that is not confirmed in time. If this VM accuses the member itself, the suspicion continues
+ * with only that accusation, until the next ack.
+ */
 function resetSuspicion (context: DecisionContext, record: MemberRecord): void {
   const { state, nowMs } = context
   if (!record.accusers.includes(state.self.vm)) {
-    dropSuspicion(context, record, 'not confirmed')
+    dropSuspicion(context, record, 'suspicion not confirmed')
     return
   }
   record.accusers = [state.self.vm]
   record.suspectedAtMs = nowMs
 }
 
-/** @example computeSuspicionMs(100) // 3000 */
+/**
+ * Shortest time from suspicion to confirmed death. It grows with the logarithm of the fleet's size.
+ *
+ * @example computeMinSuspicionMs(100) // 3000
+ */
 export function computeMinSuspicionMs (fleetSize: number): number {
   return MIN_SUSPICION_PER_DECADE_MS * Math.max(1, Math.log10(fleetSize))
 }
 
-/** `CONFIRMATIONS`, or all that are left and not suspected, this VM included. */
+/** Counts `REQUIRED_CONFIRMATIONS`, or all unsuspected members including this VM if there are fewer. */
 function countRequiredConfirmations ({ state }: DecisionContext): number {
   const unsuspectedCount = 1 + readRing(state).length - state.suspected.size
   return Math.min(REQUIRED_CONFIRMATIONS, unsuspectedCount)
--- a/packages/proxy/src/membership/ring.ts
+++ b/packages/proxy/src/membership/ring.ts
@@ -1,11 +1,11 @@
 import type { MemberRecord } from './state.ts'
 
-/** The first members clockwise after a place on the ring that pass `isWanted`. */
+/** Lists the first `count` members clockwise from the position `hash` for which `isWanted` holds. */
 export function listSuccessors (ring: readonly MemberRecord[], hash: number, count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
   return listAlongRing(ring, findRingIndex(ring, hash), 1, count, isWanted)
 }
 
-/** Whether a VM at `selfHash` is among the first `count` members before `target` that pass `isWanted`. */
+/** Whether a VM at `selfHash` is one of the `count` nearest members before `target` for which `isWanted` holds. */
 export function isPredecessor (ring: readonly MemberRecord[], selfHash: number, target: MemberRecord, count: number, isWanted: (m: MemberRecord) => boolean): boolean {
   const closerMembers = listAlongRing(ring, findRingIndex(ring, target.hash) - 1, -1, count, m => {
     return isWanted(m) && m.vm !== target.vm && measureClockwiseDistance(m.hash, target.hash) < measureClockwiseDistance(selfHash, target.hash)
--- a/packages/proxy/src/membership/state.ts
+++ b/packages/proxy/src/membership/state.ts
@@ -2,7 +2,7 @@
 import type { Member } from './membership-view.ts'
 import type { MembershipMessage } from './messages.ts'
 
-/** Sends of a new member's own news before it knows how many others there are. */
+/** Number of times that a joining VM gossips its own record, set before it knows the fleet's size. */
 const JOIN_GOSSIP_SENDS = 10
 
 /** One member as this VM knows it. */
@@ -12,78 +12,87 @@
   peerPort: number
   failureDomain: string
   region: string
-  /** Raised by the member itself at each refutation. */
+  /** Raised by the member itself when it refutes a report about it or changes its leaving state. */
   incarnation: number
-  /** As in the hello of the member's process. */
+  /** Incarnation in the hello of the member's process; a refutation does not change it. */
   processIncarnation: number
-  /** Place on the ring. */
+  /** Position on the hash ring. */
   hash: number
   isLeaving: boolean
   isDead: boolean
-  /** VMs whose probes failed; not empty while suspected or dead. */
+  /** VMs whose probes of this member failed; not empty while it is suspected or dead. */
   accusers: string[]
-  /** Accusers whom others claim for a death that this VM has not seen itself; they count once its own probe fails. */
+  /** Accusers in another VM's report of a death that this VM has not verified; they count once a local probe fails. */
   reportedAccusers: string[]
-  /** When the suspicion began here, in monotonic milliseconds. */
+  /** When this VM began to suspect the member, in monotonic milliseconds. */
   suspectedAtMs: number
-  /** Last message from the member itself, in monotonic milliseconds. */
+  /** Last message from the member, or last ack of a probe of it, in monotonic milliseconds. */
   lastContactAtMs: number
-  /** Since when the platform has not listed this dead member; `null` while it does. */
+  /** Since when the platform has not listed this dead member, in monotonic milliseconds; `null` while it is listed. */
   unlistedSinceMs: number | null
 }
 
-/** A probe in flight: several attempts, direct and through others. */
+/** A probe in flight: several ping attempts, first direct and then also relayed by other members. */
 export interface Probe {
   vm: string
   sequence: number
   startedAtMs: number
   attempts: number
-  /** The ping carries a digest of the view. */
+  /** Whether the ping carries a digest of this VM's view, for comparison with the target's. */
   hasDigest: boolean
 }
 
 /** A ping sent on behalf of another VM. */
 export interface Relay {
   requester: string
+  /** Sequence of the requester's probe, which the forwarded ack carries. */
   sequence: number
   sentAtMs: number
 }
 
 export interface MembershipState {
   self: MemberRecord
-  /** The platform called this VM leaving. */
+  /** Whether this VM is leaving because the platform lists it so, rather than by its own announcement. */
   isListedAsLeaving: boolean
-  /** Every member but this VM. */
+  /** All members except this VM, dead ones included. */
   members: Map<string, MemberRecord>
-  /** Members that are not dead, by place on the ring; `null` when it must be rebuilt. */
+  /** Members that are not dead, without this VM, ordered by position on the ring; `null` when it must be rebuilt. */
   ring: MemberRecord[] | null
-  /** Suspected and not yet dead. */
+  /** VMs that are suspected and not yet confirmed dead. */
   suspected: Set<string>
   dead: Set<string>
-  /** Members with `claimedAccusers`. */
+  /** VMs that others report dead and that this VM has yet to verify, that is, with `reportedAccusers`. */
   reportedDead: Set<string>
   probes: Map<string, Probe>
+  /** By the sequence of the ping that this VM sends. */
   relays: Map<number, Relay>
-  /** Sends left for the news of each member. */
+  /** Remaining sends of each VM's record by gossip. */
   gossip: Map<string, number>
-  /** Listed VMs that are not members yet. */
+  /** VMs that the platform lists as live and that are not members yet. */
   unknownListedVms: Vm[]
+  /** Whether the last chunk of another member's whole view was received. */
   hasSynced: boolean
+  /** Whether this VM is one of the few that read the platform's list at the short interval. */
   isPoller: boolean
   /** The ring for which `isPoller` was decided. */
   pollerRing: MemberRecord[] | null
+  /** Sequence of the last ping that this VM began. */
   sequence: number
-  /** State of the seeded generator. */
+  /** State of the seeded random number generator. */
   randomState: number
   roundCount: number
   lastTickMs: number | null
   nextRoundMs: number
   nextPollMs: number
   nextSyncMs: number
-  /** Until then failed probes are not held against anybody, since this process was itself late. */
+  /**
+   * Until then this VM neither suspects members for failed probes nor confirms deaths, because its own process
+   * was paused and could not read their messages.
+   */
   pauseRecoveryEndsMs: number
 }
 
+/** A VM and the address at which it accepts links from its peers. */
 export interface PeerAddress {
   vm: string
   host: string
@@ -94,11 +103,12 @@
   | { type: 'send', to: PeerAddress, body: MembershipMessage }
   | { type: 'poll' }
   | { type: 'changed', member: Member, reason: string }
-  /** After all changes of one message. */
+  /** Notifies subscribers, once after all changes that one input causes. */
   | { type: 'publish' }
 
 export interface MembershipStateOptions {
   self: Omit<Member, 'state'>
+  /** Seed of the choice of members to probe and to gossip with. */
   seed: number
 }
 
@@ -151,7 +161,7 @@
   }
 }
 
-/** A member as other slices see it. */
+/** Converts a record to the member that other slices see. */
 export function describeMember (record: MemberRecord): Member {
   const { vm, host, peerPort, failureDomain, region, processIncarnation } = record
   return { vm, host, peerPort, failureDomain, region, incarnation: processIncarnation, state: readMemberState(record) }
@@ -168,7 +178,7 @@
   return [state.self, ...readRing(state)].map(describeMember)
 }
 
-/** Members that are not dead, by place on the ring, without this VM. */
+/** Members that are not dead, ordered by position on the ring, without this VM. */
 export function readRing (state: MembershipState): MemberRecord[] {
   state.ring ??= [...state.members.values()]
     .filter(m => !m.isDead)
@@ -176,7 +186,7 @@
   return state.ring
 }
 
-/** A number in [0, 1) from the seeded generator mulberry32. */
+/** A random number in [0, 1) from the seeded generator mulberry32. */
 export function pickRandom (state: MembershipState): number {
   state.randomState = (state.randomState + 0x6d2b79f5) | 0
   let t = Math.imul(state.randomState ^ (state.randomState >>> 15), 1 | state.randomState)
@@ -184,7 +194,11 @@
   return ((t ^ (t >>> 14)) >>> 0) / 4_294_967_296
 }
 
-/** Up to `count` different members that pass `isWanted`. */
+/**
+ * Picks up to `count` different members for which `isWanted` holds, at random.
+ *
+ * The number of tries is limited, so fewer may be returned although more would qualify.
+ */
 export function pickMembers (state: MembershipState, members: readonly MemberRecord[], count: number, isWanted: (m: MemberRecord) => boolean): MemberRecord[] {
   const picked = new Set<MemberRecord>()
   const maxTries = Math.min(members.length, 2 * count) + count
--- a/packages/proxy/src/membership/sync.ts
+++ b/packages/proxy/src/membership/sync.ts
@@ -3,12 +3,12 @@
 import { pickRandom, type PeerAddress, type MemberRecord, type MembershipState } from './state.ts'
 import { createUpdate, type DecisionContext } from './updates.ts'
 
-/** Time between full syncs that this VM begins. */
+/** Minimum time between full syncs that this VM starts because of a different digest. */
 const SYNC_INTERVAL_MS = 10_000
-/** Listed VMs that a VM contacts at once while it has no view yet. */
+/** Listed VMs that a joining VM contacts in each round until it has received a view. */
 const JOIN_FANOUT = 3
 
-/** A hash of the members that are not dead, equal for equal views. */
+/** Computes a hash of the members that are not dead. Equal views have equal digests. */
 export function computeDigest (state: MembershipState): number {
   let digest = hashMember(state.self)
   for (const m of state.members.values()) {
@@ -22,7 +22,7 @@
   return hashPair(m.hash, memberVersion)
 }
 
-/** Begins a full sync when a peer's view differs, at most once per `SYNC_INTERVAL_MS`. */
+/** Starts a full sync if the peer's view differs, at most once per `SYNC_INTERVAL_MS`. */
 export function compareViews (context: DecisionContext, peer: PeerAddress, digest: number): void {
   const { state, nowMs } = context
   if (digest === computeDigest(state) || nowMs < state.nextSyncMs) return
@@ -30,7 +30,7 @@
   sendView(context, peer, true)
 }
 
-/** Sends the whole view in chunks; the last one asks for the receiver's view if `wantsReply`. */
+/** Sends the whole view in chunks; with `wantsReply`, the last one requests the receiver's view. */
 export function sendView (context: DecisionContext, to: PeerAddress, wantsReply: boolean): void {
   const { state, effects } = context
   const updates: MemberUpdate[] = [state.self, ...state.members.values()].map(createUpdate)
@@ -40,7 +40,7 @@
   }
 }
 
-/** Sends this VM's view to listed VMs that are not members yet. */
+/** Sends this VM's view to random listed VMs that are not members yet, and requests theirs. */
 export function sendViewToUnknownVms (context: DecisionContext): void {
   const { state } = context
   const count = state.hasSynced ? 1 : JOIN_FANOUT
--- a/packages/proxy/src/membership/updates.ts
+++ b/packages/proxy/src/membership/updates.ts
@@ -1,10 +1,10 @@
 import { MAX_ACCUSERS, MAX_UPDATES, type MemberUpdate } from './messages.ts'
 import { createMemberRecord, describeMember, readMemberState, type MemberRecord, type MembershipEffect, type MembershipState } from './state.ts'
 
-/** Sends of one piece of news by each VM, per doubling of the fleet. */
+/** Number of times that each VM gossips an update, for each doubling of the fleet. */
 const GOSSIP_SENDS_PER_DOUBLING = 3
 
-/** What one call of the decision works on. */
+/** The state, the time and the collected effects of one membership decision. */
 export interface DecisionContext {
   state: MembershipState
   nowMs: number
@@ -12,12 +12,15 @@
 }
 
 /**
- * Takes an update into the view. Tells whether it was news.
+ * Applies an update to this VM's view.
  *
- * As in SWIM (Das, Gupta and Motivala, 2002) the higher incarnation holds, and only the member
- * itself raises it. Unlike there, death is not passed on as a fact: accusations are, and every VM
- * waits out the suspicion itself. A claim of death is checked by a probe of one's own, so that a group
- * that was cut off cannot make them hold each other for dead on its return.
+ * As in SWIM (Das, Gupta and Motivala, 2002), the higher incarnation wins, and only the member
+ * itself raises it. Unlike in SWIM, VMs do not accept a death on another VM's word: they exchange
+ * accusations, and each VM waits for the suspicion to time out locally. A VM verifies a reported death
+ * by a probe of its own, so that a group that reconnects after a partition cannot make the other VMs
+ * confirm each other dead.
+ *
+ * @returns whether the update was news; an unverified report of a death is not
  */
 export function applyUpdate (context: DecisionContext, update: MemberUpdate): boolean {
   const { state } = context
@@ -30,7 +33,7 @@
     return true
   }
   const isNewlyLeaving = update.isLeaving && !record.isLeaving
-  if (isNewlyLeaving) setLeaving(context, record, 'announced')
+  if (isNewlyLeaving) setLeaving(context, record, 'leaving announced')
   if (update.isDead && !record.isDead && record.accusers.length === 0) {
     record.reportedAccusers = update.accusers
     state.reportedDead.add(record.vm)
@@ -39,7 +42,7 @@
   return addAccusers(context, record, update.accusers) || isNewlyLeaving
 }
 
-/** Refutes what others wrongly hold of this VM by a higher incarnation. */
+/** Refutes a wrong report about this VM by raising its incarnation above the reported one. */
 function applyUpdateOfSelf (context: DecisionContext, update: MemberUpdate): boolean {
   const { self } = context.state
   if (update.incarnation < self.incarnation) return false
@@ -48,11 +51,14 @@
   if (isAccurate) return false
   self.incarnation = update.incarnation + 1
   scheduleGossip(context.state, self.vm)
-  context.effects.push({ type: 'changed', member: describeMember(self), reason: 'refuted' })
+  context.effects.push({ type: 'changed', member: describeMember(self), reason: 'false report refuted' })
   return true
 }
 
-/** Others have read in the platform's list that this VM leaves; its own next reading confirms or ends that. */
+/**
+ * Marks this VM as leaving because others report it so from the platform's list. It reads the list at
+ * the next tick, which confirms or ends that.
+ */
 function adoptReportedLeaving ({ state, effects }: DecisionContext): void {
   state.isListedAsLeaving = true
   state.self.isLeaving = true
@@ -96,10 +102,14 @@
   }
   scheduleGossip(state, record.vm)
   addAccusers(context, record, update.accusers)
-  context.effects.push({ type: 'changed', member: describeMember(record), reason: `was ${previousState}` })
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: `new incarnation, previously ${previousState}` })
 }
 
-/** Adds accusations against the record's present incarnation; tells whether any was new. */
+/**
+ * Adds accusations against the record's current incarnation, up to `MAX_ACCUSERS`.
+ *
+ * @returns whether any accuser was new
+ */
 export function addAccusers (context: DecisionContext, record: MemberRecord, accusers: readonly string[]): boolean {
   const { state, nowMs } = context
   const newAccusers = accusers.filter(a => !record.accusers.includes(a)).slice(0, MAX_ACCUSERS - record.accusers.length)
@@ -114,7 +124,7 @@
   return true
 }
 
-/** Ends the suspicion without a refutation. */
+/** Ends a suspicion that the member has not refuted by a higher incarnation. */
 export function dropSuspicion (context: DecisionContext, record: MemberRecord, reason: string): void {
   record.accusers = []
   context.state.suspected.delete(record.vm)
@@ -135,10 +145,10 @@
   state.ring = null
   state.probes.delete(record.vm)
   scheduleGossip(state, record.vm)
-  context.effects.push({ type: 'changed', member: describeMember(record), reason: `confirmed by ${record.accusers.join(', ')}` })
+  context.effects.push({ type: 'changed', member: describeMember(record), reason: `death confirmed by ${record.accusers.join(', ')}` })
 }
 
-/** Marks what is known of a member to be passed on. */
+/** Queues what this VM knows of `vm` for gossip. The number of sends grows with the logarithm of the fleet's size. */
 export function scheduleGossip (state: MembershipState, vm: string): void {
   const doublings = Math.ceil(Math.log2(state.members.size + 2))
   state.gossip.set(vm, GOSSIP_SENDS_PER_DOUBLING * doublings)
@@ -149,7 +159,10 @@
   return { vm, host, peerPort, failureDomain, region, incarnation, processIncarnation, isLeaving, accusers, isDead }
 }
 
-/** Takes the least sent news for one message, and first what concerns its receiver. */
+/**
+ * Selects the updates for one message and counts them as sent: those with the most remaining sends,
+ * after an update about the receiver itself if it is suspected, dead or leaving, so that it can refute it.
+ */
 export function selectUpdatesFor (state: MembershipState, receiver: string): MemberUpdate[] {
   const updates = state.gossip.size > 0 ? selectPendingUpdates(state, receiver) : []
   const receiverRecord = state.members.get(receiver)
--- a/packages/proxy/src/membership/virtual-fleet.ts
+++ b/packages/proxy/src/membership/virtual-fleet.ts
@@ -4,13 +4,13 @@
 import type { MembershipInput, MembershipMessage } from './messages.ts'
 import { createMembershipState, describeMember, listLiveMembers, type MembershipEffect, type MembershipState } from './state.ts'
 
-/** Incarnation of a VM that starts at the beginning, in milliseconds since the epoch. */
+/** Incarnation of the VMs that start at virtual time 0, in milliseconds since the epoch. */
 export const FIRST_INCARNATION = 1_700_000_000_000
 
-/** Width of a slice of virtual time. */
+/** Events are stored in buckets of this much virtual time. */
 const BUCKET_WIDTH_MS = 10
 
-/** The decision under test: the real one, or a naive one for comparison. */
+/** The decision function under test: the real one, or a simplified one for comparison. */
 export type DecideMembership = typeof decideMembership
 
 export interface VirtualFleetOptions {
@@ -18,7 +18,7 @@
   seed: number
   decide?: DecideMembership
   failureDomains?: number
-  /** Part of the messages that are lost, from 0 to 1. */
+  /** Fraction of the messages that are lost. */
   loss?: number
   /** Longest one-way delay, in milliseconds. */
   maxDelayMs?: number
@@ -35,16 +35,18 @@
 interface ScheduledEvent {
   atMs: number
   vm: string
-  /** Life of the VM for which the event is meant. */
+  /** Start of the VM for which the event is meant; a restarted VM ignores events of earlier generations. */
   generation: number
   input: MembershipInput
 }
 
+/** A member's change to suspected or dead in the view of `observer`. */
 interface ObservedChange {
   atMs: number
   vm: string
   incarnation: number
   observer: string
+  /** Whether the member was running at that time. */
   isRunning: boolean
 }
 
@@ -52,14 +54,16 @@
 export class VirtualFleet {
   nowMs = 0
   loss: number
+  /** Every confirmation of a death by any VM. */
   readonly deaths: ObservedChange[] = []
+  /** Every suspicion that begins in any VM's view. */
   readonly suspicions: ObservedChange[] = []
-  /** Incarnations that went back in some view. */
+  /** Views in which a member's incarnation decreased, as `observer/generation/member`. */
   readonly incarnationRegressions: string[] = []
   readonly #options: VirtualFleetOptions
   readonly #vms = new Map<string, VirtualVm>()
   readonly #buckets = new Map<number, ScheduledEvent[]>()
-  /** Highest incarnation that each life of each VM has shown of each member. */
+  /** Highest incarnation of each member in each generation of each observer's view. */
   readonly #highestIncarnations = new Map<string, number>()
   readonly #generations = new Map<string, number>()
   #listedVms: Vm[] = []
@@ -73,7 +77,7 @@
     for (let i = 0; i < options.size; i++) this.startVm(`vm-${i}`)
   }
 
-  /** Starts a VM with empty memory; the platform lists it from then on. */
+  /** Starts a VM without state; the platform lists it from then on. */
   startVm (vm: string, incarnation = FIRST_INCARNATION + Math.floor(this.nowMs)): void {
     const index = Number(vm.slice('vm-'.length))
     const domain = index % (this.#options.failureDomains ?? 9)
@@ -86,11 +90,12 @@
     this.#schedule({ atMs: this.nowMs + this.pickRandom() * TICK_INTERVAL_MS, vm, generation, input: { type: 'tick' } })
   }
 
-  /** Ends a VM without notice; the platform goes on listing it. */
+  /** Stops a VM without notice; the platform still lists it. */
   stopVm (vm: string): void {
     this.#vms.get(vm)!.isRunning = false
   }
 
+  /** Pauses a VM; it handles the events that are due meanwhile when it resumes. */
   pauseVm (vm: string, durationMs: number): void {
     this.#vms.get(vm)!.pausedUntilMs = this.nowMs + durationMs
   }
@@ -107,7 +112,7 @@
     this.#listedVms = this.#listedVms.filter(v => v.vm !== vm)
   }
 
-  /** Loses all messages between VMs of different sides; `null` heals the network. */
+  /** Partitions the network: messages between VMs for which `findSide` differs are lost. `null` heals the partition. */
   cut (findSide: ((vm: string) => number) | null): void {
     this.#findSide = findSide
   }
@@ -125,7 +130,7 @@
     return [...this.#vms].filter(([, v]) => v.isRunning).map(([vm]) => vm)
   }
 
-  /** Delivers what is due in one slice of time, in order; what that brings about in the same slice comes after. */
+  /** Delivers the events of one bucket in order of time; events that these add to the same bucket are left for the next call. */
   #deliverBucket (bucket: number): void {
     const events = this.#buckets.get(bucket) ?? []
     this.#buckets.delete(bucket)
@@ -135,23 +140,23 @@
     }
   }
 
-  /** What a VM's membership shows, by member. */
+  /** Reads a VM's view of the members that are not dead, by VM. */
   readView (vm: string): Map<string, Member> {
     return new Map(listLiveMembers(this.#vms.get(vm)!.state).map(m => [m.vm, m]))
   }
 
-  /** Incarnation of a member in a VM's view, refutations included. */
+  /** Reads a member's incarnation in an observer's view, including increments by refutation; 0 for an unknown member. */
   readIncarnation (observer: string, vm: string): number {
     const { state } = this.#vms.get(observer)!
     return observer === vm ? state.self.incarnation : state.members.get(vm)?.incarnation ?? 0
   }
 
-  /** Running VMs that hold `vm` for live. */
+  /** Lists the running VMs in whose view `vm` is not dead. */
   listObserversOf (vm: string): string[] {
     return this.listRunning().filter(o => this.readView(o).has(vm))
   }
 
-  /** Whether every running VM shows exactly the running ones, none suspected, in the same incarnations. */
+  /** Whether the view of every running VM has exactly the running VMs, none suspected, with the state and process incarnation that each has itself. */
   hasConverged (): boolean {
     const running = this.listRunning().sort()
     const expected = running.map(vm => describeMember(this.#vms.get(vm)!.state.self)).map(formatMember).join()
