--- a/packages/proxy/src/statements/forwarding.test.ts
+++ b/packages/proxy/src/statements/forwarding.test.ts
@@ -104,7 +104,7 @@
     ports.clear()
   })
 
-  it('brings every frame in order, with the cells as they were', async () => {
+  it('delivers every frame in order, with unchanged cells', async () => {
     const frames = await collectFrames(findVm('entry').router, makeRequest())
     expect(frames).to.have.length(ROW_COUNT + 3)
     expect(frames[0]?.kind).to.equal('columns')
@@ -114,7 +114,7 @@
     expect(Buffer.compare(row.rows[0]?.[0] as Uint8Array, cell)).to.equal(0)
   })
 
-  it('holds the endpoint back while the caller does not read', async () => {
+  it('pauses reading from the endpoint while the consumer does not read', async () => {
     const frames = findVm('entry').router.run(makeRequest(), null)
     await frames.next()
     await new Promise(resolve => setTimeout(resolve, 100))
@@ -123,14 +123,14 @@
     await frames.return()
   })
 
-  it('asks the next VM where one does not serve the database', async () => {
+  it('tries the next VM when one does not serve the database or is unreachable', async () => {
     placement.vms = ['none', 'unknown', 'two']
     const frames = await collectFrames(findVm('entry').router, makeRequest({ class: 'write' }))
     expect(frames.at(-1)).to.include({ kind: 'ok', insertId: 5 })
     expect(findVm('two').service?.startedRequestIds).to.have.length(1)
   })
 
-  it('never repeats an unnamed write whose VM was lost, and says that its outcome is unknown', async () => {
+  it('does not retry a write without a write ID after its VM was lost, and reports that the outcome is unknown', async () => {
     const response = collectFrames(findVm('entry').router, makeRequest({ class: 'write', text: 'hang' }))
     while (findVm('one').service?.startedRequestIds.length === 0) await new Promise(resolve => setImmediate(resolve))
     await findVm('one').network.stop()
@@ -138,7 +138,7 @@
     expect(findVm('two').service?.startedRequestIds).to.have.length(0)
   })
 
-  it('repeats a read whose VM was lost before the first frame', async () => {
+  it('retries a read on another VM when its VM was lost before the first frame', async () => {
     const response = collectFrames(findVm('entry').router, makeRequest({ text: 'hang' }))
     while (findVm('one').service?.startedRequestIds.length === 0) await new Promise(resolve => setImmediate(resolve))
     await findVm('one').network.stop()
@@ -147,7 +147,7 @@
     expect((await response).at(-1)?.kind).to.equal('position')
   })
 
-  it('ignores frames for another stream and from another VM', async () => {
+  it('ignores frames for an unknown stream or from a VM that does not run the statement', async () => {
     const frames = findVm('entry').router.run(makeRequest(), null)
     const first = await frames.next()
     findVm('entry').remote.handleFrame('two', { type: 'frame', stream: 1, frame: { kind: 'end' }, last: true })
--- a/packages/proxy/src/statements/frame-channel.ts
+++ b/packages/proxy/src/statements/frame-channel.ts
@@ -1,11 +1,11 @@
 import type { AnswerFrame } from '@camphorpitch/wire'
 
-/** Frames that may be under way before the receiver has consumed some. */
+/** Frames that the sender may send before the receiver grants more credit. */
 export const INITIAL_CREDIT_FRAMES = 16
-/** Consumed frames after which the receiver grants more. */
+/** The receiver grants credit each time it has consumed this many frames. */
 const CREDIT_GRANT_FRAMES = 8
 
-/** Receiving end of one answer from another VM, with credit-based flow control. */
+/** The receiving end of one response from another VM, with credit-based flow control. */
 export class FrameChannel {
   readonly #frames: AnswerFrame[] = []
   readonly #grantCredit: (frames: number) => void
@@ -14,10 +14,12 @@
   #error: Error | undefined
   #wakeReader: (() => void) | undefined
 
+  /** @param grantCredit sends the number of further frames that the sender may send */
   constructor (grantCredit: (frames: number) => void) {
     this.#grantCredit = grantCredit
   }
 
+  /** Adds a received frame. The last message of a response may carry none (`null`); later ones are ignored. */
   addFrame (frame: AnswerFrame | null, isLast: boolean): void {
     if (this.#hasEnded) return
     if (frame !== null) this.#frames.push(frame)
@@ -25,7 +27,7 @@
     this.#wakeReader?.()
   }
 
-  /** Ends the channel; frames already received are still delivered before `error` is thrown. */
+  /** Ends the channel. Frames that were already received are still delivered before `error` is thrown to the reader. */
   closeWithError (error: Error): void {
     if (this.#hasEnded) return
     this.#hasEnded = true
@@ -33,7 +35,11 @@
     this.#wakeReader?.()
   }
 
-  /** @throws the error given to `closeWithError` */
+  /**
+   * Yields the frames in order until the last one.
+   *
+   * @throws the error given to `closeWithError`
+   */
   async * readFrames (): AsyncGenerator<AnswerFrame, void, void> {
     while (true) {
       const frame = this.#frames.shift()
--- a/packages/proxy/src/statements/remote-statements.ts
+++ b/packages/proxy/src/statements/remote-statements.ts
@@ -8,7 +8,7 @@
   channel: FrameChannel
 }
 
-/** Runs statements on other VMs and receives their answers. */
+/** Runs statements on other VMs and receives the responses. */
 export class RemoteStatements {
   readonly #peers: PeerNetwork
   readonly #streams = new Map<number, RemoteStream>()
@@ -20,8 +20,10 @@
   }
 
   /**
-   * @throws StreamLostError when the link is lost before the answer is whole
-   * @throws StreamNotStartedError when there is no link, so that the statement has not run
+   * Runs a statement on `vm` and yields the frames of its response. Returning the generator early cancels the statement.
+   *
+   * @throws StreamLostError if the link is lost before the response is complete; the statement may have run
+   * @throws StreamNotStartedError if the VM is unreachable, so that the statement has not run
    */
   async * run (vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
     const stream = this.#nextStream++
@@ -38,11 +40,12 @@
     }
   }
 
+  /** Requests that `vm` rolls back the transaction; there is no response. */
   abandon (vm: string, database: string, transactionId: string): void {
     this.#send(vm, { type: 'abandon', database, transactionId })
   }
 
-  /** Takes a `frame` message; one for an unknown stream is answered by `cancel`. */
+  /** Handles a `frame` message. For an unknown stream, or one of another VM, it responds with `cancel`. */
   handleFrame (vm: string, message: StatementMessage & { type: 'frame' }): void {
     const stream = this.#streams.get(message.stream)
     if (stream === undefined || stream.vm !== vm) {
@@ -52,6 +55,7 @@
     stream.channel.addFrame(message.frame, message.last)
   }
 
+  /** Counts the statements in flight on other VMs. */
   countStreams (): number {
     return this.#streams.size
   }
@@ -60,7 +64,7 @@
     for (const [id, stream] of this.#streams) {
       if (stream.vm !== vm) continue
       this.#streams.delete(id)
-      stream.channel.closeWithError(loss === 'closed' ? new StreamLostError(`the link to ${vm} was lost`) : new StreamNotStartedError(`${vm} cannot be reached`))
+      stream.channel.closeWithError(loss === 'closed' ? new StreamLostError(`link to VM ${vm} was lost before the response was complete`) : new StreamNotStartedError(`VM ${vm} is unreachable`))
     }
   }
 
@@ -69,7 +73,7 @@
   }
 }
 
-/** `undefined` for a malformed message. */
+/** Validates a message of the `statements` slice. Returns `undefined` if it is malformed. */
 export function parseStatementMessage (body: unknown): StatementMessage | undefined {
   const result = statementMessageSchema.safeParse(body)
   return result.success ? result.data : undefined
--- a/packages/proxy/src/statements/served-databases.test.ts
+++ b/packages/proxy/src/statements/served-databases.test.ts
@@ -27,8 +27,8 @@
   override subscribe (listener: () => void): void { this.notifyChange = listener }
 }
 
-describe('services of databases on a VM', () => {
-  it('let an open transaction end on a service that placement has taken away', async () => {
+describe('ServedDatabases', () => {
+  it('routes an open transaction to its draining service, and stops that service only after the drain', async () => {
     const database: Database = { database: 'orders', endpoints: [], user: 'u', password: '' }
     const configuration = { findDatabase: () => database, subscribe: () => {} } as unknown as ConfigurationView
     const placement = new MutablePlacement()
--- a/packages/proxy/src/statements/served-databases.ts
+++ b/packages/proxy/src/statements/served-databases.ts
@@ -7,20 +7,21 @@
   configuration: ConfigurationView
   placement: PlacementView
   logger: Logger
-  /** Starts probing a group and running statements on it. */
+  /** Starts a service, which probes the database's group and runs statements on it. */
   startService: (database: Database) => DatabaseService
 }
 
 interface ServedDatabase {
   service: DatabaseService
-  /** The description that it was started with. */
+  /** The database's configuration with which the service was started, as JSON. */
   serializedConfiguration: string
 }
 
 /**
- * Keeps a service running for each database that placement gives to this VM.
+ * Keeps a service running for each database that placement assigns to this VM.
  *
- * A service that is given up drains: new statements find no service here and go to another VM.
+ * A service that is no longer needed drains: `findService` does not return it for new statements, which
+ * therefore run on another VM or on a newer service.
  */
 export class ServedDatabases {
   readonly #options: ServedDatabasesOptions
@@ -36,7 +37,7 @@
     })
   }
 
-  /** The service for new work, or the one that holds the transaction, which may be draining. */
+  /** Finds the current service, or the one that holds the transaction, which may be draining. */
   findService (database: string, transactionId: string | null): DatabaseService | undefined {
     const current = this.#served.get(database)?.service
     if (transactionId === null || current?.hasTransaction(transactionId) === true) return current
@@ -44,7 +45,7 @@
     return draining ?? current
   }
 
-  /** Starts and ends services until they match placement and configuration. */
+  /** Starts and drains services so that they match placement and configuration. */
   updateServices (): void {
     if (this.#isStopped) return
     const wanted = new Set(this.#options.placement.listServedDatabases())
@@ -54,7 +55,7 @@
     for (const name of wanted) this.#updateService(name)
   }
 
-  /** Gives up every service and resolves when all accepted statements have ended. */
+  /** Drains every service, starts no others, and resolves when all accepted statements have ended. */
   async drain (): Promise<void> {
     this.#isStopped = true
     for (const name of [...this.#served.keys()]) this.#endService(name, 'planned stop')
@@ -67,16 +68,16 @@
     const serializedConfiguration = JSON.stringify(database)
     const current = this.#served.get(name)
     if (current?.serializedConfiguration === serializedConfiguration) return
-    if (current !== undefined) this.#endService(name, 'description changed')
+    if (current !== undefined) this.#endService(name, 'database configuration changed')
     this.#served.set(name, { service: this.#options.startService(database), serializedConfiguration })
-    this.#options.logger.info('database served', { database: name, reason: 'placement' })
+    this.#options.logger.info('database service started', { database: name, reason: 'placement' })
   }
 
   #endService (name: string, reason: string): void {
     const current = this.#served.get(name)
     if (current === undefined) return
     this.#served.delete(name)
-    this.#options.logger.info('database given up', { database: name, reason })
+    this.#options.logger.info('database service draining', { database: name, reason })
     const { service } = current
     const drainCompletion = service.drain().catch(() => {}).finally(() => {
       service.stop()
--- a/packages/proxy/src/statements/statement-router.ts
+++ b/packages/proxy/src/statements/statement-router.ts
@@ -4,12 +4,13 @@
 import { StreamLostError, StreamNotStartedError } from './errors.ts'
 import type { RemoteStatements } from './remote-statements.ts'
 
-/** Serving VMs that one statement may be offered to. */
+/** Maximum number of serving VMs that are tried for one statement. */
 const MAX_VM_ATTEMPTS = 3
-/** When a caller should come back after no VM could serve its database. */
+/** Delay after which a client should retry when no VM could serve its database. */
 const NO_SERVING_VM_RETRY_AFTER_MS = 500
 
 export interface StatementRouterOptions {
+  /** Name of this VM. */
   self: string
   clock: Clock
   logger: Logger
@@ -18,19 +19,23 @@
   findService: FindService
 }
 
-/** An answer's frames, and the VM that gives them. */
+/** One frame of a response, and the VM that sent it. */
 export interface RoutedFrame {
   vm: string
   frame: AnswerFrame
 }
 
 export interface StatementRouter {
-  /** Runs a statement on a VM that serves its database; `pinnedVm` holds its transaction. */
+  /**
+   * Runs a statement on a VM that serves its database, or only on `pinnedVm`, which holds its transaction.
+   * A failure to reach or keep a serving VM is yielded as a refusal, not thrown.
+   */
   run: (request: StatementRequest, pinnedVm: string | null) => AsyncGenerator<RoutedFrame, void, void>
+  /** Rolls back a transaction on the VM that holds it; there is no response. */
   abandon: (vm: string, database: string, transactionId: string) => void
 }
 
-/** Creates the part of an entry VM that hands statements to serving VMs. */
+/** Creates the router with which an entry VM sends statements to serving VMs, itself included. */
 export function createStatementRouter (options: StatementRouterOptions): StatementRouter {
   const { self, placement, remote, findService } = options
   return {
@@ -49,13 +54,14 @@
       if (timeoutMs <= 0) break
       routerOptions.logger.debug('statement routed to VM', { request: request.requestId, workspace: request.workspace, database: request.database, vm, reason: pinnedVm === null ? 'placement' : 'transaction' })
       const outcome = yield * runAttempt(routerOptions, vm, { ...request, timeoutMs })
-      if (outcome === 'answered') return
+      if (outcome === 'responded') return
     }
     yield { vm: self, frame: createNoServingVmRefusal(request) }
   }
 }
 
-type AttemptOutcome = 'answered' | 'not run'
+/** `'not run'`: the next VM may be tried. */
+type AttemptOutcome = 'responded' | 'not run'
 
 async function * runAttempt (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<RoutedFrame, AttemptOutcome, void> {
   let hasResponded = false
@@ -65,14 +71,14 @@
       hasResponded = true
       yield { vm, frame }
     }
-    return 'answered'
+    return 'responded'
   } catch (error) {
     if (error instanceof StreamNotStartedError) return 'not run'
     if (!(error instanceof StreamLostError)) throw error
-    options.logger.info('serving VM lost', { request: request.requestId, vm, answered: hasResponded })
+    options.logger.info('link to serving VM lost during statement', { request: request.requestId, vm, hasResponded })
     if (!hasResponded && canRetry(request)) return 'not run'
     yield { vm, frame: createLinkLossRefusal(request) }
-    return 'answered'
+    return 'responded'
   }
 }
 
@@ -86,7 +92,11 @@
   yield { kind: 'notServing' }
 }
 
-/** Reads have no effect, a named write is recorded with its effect, and a begin leaves nothing that outlives its VM. */
+/**
+ * Whether a request whose VM was lost may run again on another VM. A read has no effect, a write with a
+ * `writeId` is recorded together with its effect, so that a second run is recognized, and a begin leaves
+ * nothing that outlives its VM.
+ */
 function canRetry (request: StatementRequest): boolean {
   if (request.transactionId !== null) return false
   return request.class === 'read' || request.class === 'begin' || request.writeId !== null
--- a/packages/proxy/src/statements/statement-server.ts
+++ b/packages/proxy/src/statements/statement-server.ts
@@ -10,15 +10,19 @@
   findService: FindService
 }
 
+/** A forwarded statement in flight on this VM. */
 interface ServedStream {
+  /** The VM that forwarded the statement. */
   vm: string
   frames: AsyncGenerator<AnswerFrame, void, void>
+  /** Frames that may be sent before the receiver grants more. */
   credit: number
   isCancelled: boolean
+  /** Resumes the sender that waits for credit; `undefined` if it has never waited. */
   wakeSender: (() => void) | undefined
 }
 
-/** Runs statements that other VMs forward to this one. */
+/** Runs statements that other VMs forward to this VM, and sends them the responses. */
 export class StatementServer {
   readonly #options: StatementServerOptions
   readonly #streams = new Map<string, ServedStream>()
@@ -37,6 +41,7 @@
     }
   }
 
+  /** Counts the forwarded statements in flight on this VM. */
   countStreams (): number {
     return this.#streams.size
   }
