--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -1,29 +1,29 @@
 import { expect } from 'chai'
 import type { DecideMembership } from './virtual-fleet.ts'
 import { FIRST_INCARNATION, VirtualFleet } from './virtual-fleet.ts'
-import { computeSuspicionMs, CONFIRMATIONS } from './probes.ts'
+import { computeMinSuspicionMs, REQUIRED_CONFIRMATIONS } from './probes.ts'
 import { decideMembership } from './decision.ts'
 
-const JOIN_MS = 8_000
+const JOIN_DURATION_MS = 8_000
 
 function startFleet (seed: number, size: number, options: { loss?: number, decide?: DecideMembership } = {}): VirtualFleet {
   const fleet = new VirtualFleet({ size, seed, ...options })
-  fleet.run(JOIN_MS)
+  fleet.run(JOIN_DURATION_MS)
   return fleet
 }
 
-/** Runs until `isDone`, at most `limitMs` of virtual time; tells how long it took. */
+/** Runs the fleet until `isDone`, for at most `limitMs` of virtual time. Returns the time that passed, in milliseconds. */
 function runUntil (fleet: VirtualFleet, limitMs: number, isDone: () => boolean): number {
   const startMs = fleet.nowMs
   while (!isDone() && fleet.nowMs - startMs < limitMs) fleet.run(1_000)
   return fleet.nowMs - startMs
 }
 
-function readIndex (vm: string): number {
+function parseVmIndex (vm: string): number {
   return Number(vm.slice('vm-'.length))
 }
 
-/** One suspicion by one VM is enough for it to hold a member for dead at once. */
+/** A decision without confirmation: a VM declares a member dead as soon as it suspects the member itself. */
 const decideNaively: DecideMembership = (state, input, nowMs) => {
   const step = decideMembership(state, input, nowMs)
   for (const vm of state.suspected) {
@@ -39,7 +39,7 @@
 }
 
 describe('membership under faults', () => {
-  it('holds no running VM for dead at 30% loss, in 400 runs', () => {
+  it('confirms no running VM dead at 30% message loss, in 400 runs', () => {
     for (let seed = 1; seed <= 400; seed++) {
       const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3 })
       fleet.run(20_000)
@@ -47,7 +47,7 @@
     }
   })
 
-  it('would hold running VMs for dead at 30% loss without confirmation', () => {
+  it('would declare running VMs dead at 30% message loss without confirmation by other VMs', () => {
     let deaths = 0
     for (let seed = 1; seed <= 20; seed++) {
       const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3, decide: decideNaively })
@@ -57,43 +57,43 @@
     expect(deaths).to.be.above(0)
   })
 
-  it('finds a dead VM everywhere within the bound, in 300 runs with loss up to 20%', () => {
+  it('removes a stopped VM from every view within 40 s and no running VM, in 300 runs with up to 20% message loss', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size, { loss: (seed % 3) * 0.1 })
       fleet.stopVm('vm-0')
       const boundMs = 2 * 20_000
-      const tookMs = runUntil(fleet, boundMs, () => fleet.listObserversOf('vm-0').length === 0)
-      expect(fleet.listObserversOf('vm-0'), `seed ${seed}, after ${tookMs} ms`).to.deep.equal([])
+      const elapsedMs = runUntil(fleet, boundMs, () => fleet.listObserversOf('vm-0').length === 0)
+      expect(fleet.listObserversOf('vm-0'), `seed ${seed}, after ${elapsedMs} ms`).to.deep.equal([])
       expect(fleet.deaths.filter(d => d.isRunning), `seed ${seed}`).to.deep.equal([])
     }
   })
 
-  it('converges after loss, pauses, restarts and cuts together, in 400 runs', () => {
+  it('converges after a mix of message loss, pauses, restarts and partitions, in 400 runs', () => {
     for (let seed = 1; seed <= 400; seed++) {
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size)
-      bringFaults(fleet, size)
+      injectFaults(fleet, size)
       fleet.loss = 0
       fleet.cut(null)
-      const tookMs = runUntil(fleet, 90_000, () => fleet.hasConverged())
-      expect(fleet.hasConverged(), `seed ${seed}, after ${tookMs} ms`).to.equal(true)
-      expect(fleet.regressions, `seed ${seed}`).to.deep.equal([])
+      const elapsedMs = runUntil(fleet, 90_000, () => fleet.hasConverged())
+      expect(fleet.hasConverged(), `seed ${seed}, after ${elapsedMs} ms`).to.equal(true)
+      expect(fleet.incarnationRegressions, `seed ${seed}`).to.deep.equal([])
     }
   })
 })
 
-/** Twelve seeded faults, one after the other. */
-function bringFaults (fleet: VirtualFleet, size: number): void {
+/** Injects twelve seeded faults one after the other, and then starts the VMs that are stopped. */
+function injectFaults (fleet: VirtualFleet, size: number): void {
   for (let i = 0; i < 12; i++) {
     const vm = `vm-${Math.floor(fleet.pickRandom() * size)}`
-    const parts = 2 + Math.floor(fleet.pickRandom() * 2)
+    const sideCount = 2 + Math.floor(fleet.pickRandom() * 2)
     const faults = [
       () => fleet.pauseVm(vm, 500 + fleet.pickRandom() * 15_000),
       () => { fleet.stopVm(vm) },
       () => { fleet.startVm(vm) },
       () => { fleet.loss = fleet.pickRandom() * 0.5 },
-      () => { fleet.cut(other => readIndex(other) % parts) },
+      () => { fleet.cut(other => parseVmIndex(other) % sideCount) },
       () => { fleet.cut(null) }
     ]
     faults[Math.floor(fleet.pickRandom() * faults.length)]!()
@@ -105,7 +105,7 @@
 }
 
 describe('membership', () => {
-  it('keeps VMs for live that another saw through a pause of its own', () => {
+  it('does not let a VM suspect others after its own process was paused, and converges', () => {
     const fleet = startFleet(3, 9)
     fleet.pauseVm('vm-4', 60_000)
     fleet.run(60_000)
@@ -116,7 +116,7 @@
     expect(fleet.hasConverged()).to.equal(true)
   })
 
-  it('shows the incarnation of the process, whatever the member had to refute', () => {
+  it('shows the process incarnation of a member that raised its incarnation to refute a suspicion', () => {
     const fleet = startFleet(8, 5)
     fleet.pauseVm('vm-1', 30_000)
     fleet.run(60_000)
@@ -125,7 +125,7 @@
     expect(fleet.readView('vm-0').get('vm-1')!.incarnation).to.equal(FIRST_INCARNATION)
   })
 
-  it('gives a leaving VM no new work after 3 s, by its own word or by the list', () => {
+  it('shows a VM as leaving in every view after 3 s, whether the VM announces it or the platform lists it', () => {
     for (let seed = 1; seed <= 50; seed++) {
       const fleet = startFleet(seed, 9, { loss: 0.1 })
       if (seed % 2 === 0) fleet.leave('vm-2')
@@ -136,11 +136,11 @@
     }
   })
 
-  it('does not hold the others for dead when a group that was cut off returns', () => {
+  it('confirms no further VM dead when a partitioned group reconnects', () => {
     const fleet = startFleet(5, 12)
-    fleet.cut(vm => Number(readIndex(vm) < CONFIRMATIONS))
+    fleet.cut(vm => Number(parseVmIndex(vm) < REQUIRED_CONFIRMATIONS))
     fleet.run(60_000)
-    expect(fleet.readView('vm-0').size).to.equal(CONFIRMATIONS)
+    expect(fleet.readView('vm-0').size).to.equal(REQUIRED_CONFIRMATIONS)
     const before = fleet.deaths.length
     fleet.cut(null)
     runUntil(fleet, 60_000, () => fleet.hasConverged())
@@ -148,15 +148,15 @@
     expect(fleet.deaths.slice(before)).to.deep.equal([])
   })
 
-  it('lets a group of three of nine that is cut off agree on the others before suspicions lapse', () => {
+  it('lets both sides of a partition into three and six VMs confirm the other side dead before suspicions expire', () => {
     const fleet = startFleet(9, 9)
-    fleet.cut(vm => Number(readIndex(vm) % 3 === 0))
+    fleet.cut(vm => Number(parseVmIndex(vm) % 3 === 0))
     runUntil(fleet, 20_000, () => fleet.readView('vm-0').size === 3 && fleet.readView('vm-1').size === 6)
     expect(fleet.readView('vm-0').size).to.equal(3)
     expect(fleet.readView('vm-1').size).to.equal(6)
   })
 
-  it('refutes what is left of an earlier life with a later clock', () => {
+  it('lets a restarted VM refute the records of its earlier process, whose clock was ahead', () => {
     const fleet = startFleet(6, 5)
     fleet.stopVm('vm-1')
     fleet.run(30_000)
@@ -167,12 +167,12 @@
     expect(fleet.hasConverged()).to.equal(true)
   })
 
-  it('forgets a dead VM that the platform no longer lists', () => {
+  it('stays converged after the platform no longer lists a dead VM, and computes the minimum suspicion of a small fleet', () => {
     const fleet = startFleet(7, 5)
     fleet.stopVm('vm-1')
     fleet.removeFromList('vm-1')
     fleet.run(900_000)
     expect(fleet.hasConverged()).to.equal(true)
-    expect(computeSuspicionMs(5)).to.equal(1_500)
+    expect(computeMinSuspicionMs(5)).to.equal(1_500)
   })
 })
--- a/packages/proxy/src/statements/frame-channel.ts
+++ b/packages/proxy/src/statements/frame-channel.ts
@@ -1,39 +1,45 @@
 import type { AnswerFrame } from '@camphorpitch/wire'
 
-/** Frames that may be under way before the receiver has consumed some. */
-export const FRAME_WINDOW = 16
-/** Consumed frames after which the receiver grants more. */
-const CREDIT_BATCH = 8
+/** Frames that the sender may send before the receiver grants more credit. */
+export const INITIAL_CREDIT_FRAMES = 16
+/** The receiver grants credit each time it has consumed this many frames. */
+const CREDIT_GRANT_FRAMES = 8
 
-/** Receiving end of one answer from another VM, with credit-based flow control. */
+/** The receiving end of one response from another VM, with credit-based flow control. */
 export class FrameChannel {
   readonly #frames: AnswerFrame[] = []
   readonly #grantCredit: (frames: number) => void
-  #consumed = 0
-  #ended = false
+  #consumedSinceGrant = 0
+  #hasEnded = false
   #error: Error | undefined
-  #wake: (() => void) | undefined
+  #wakeReader: (() => void) | undefined
 
+  /** @param grantCredit sends the number of further frames that the sender may send */
   constructor (grantCredit: (frames: number) => void) {
     this.#grantCredit = grantCredit
   }
 
-  addFrame (frame: AnswerFrame | null, last: boolean): void {
-    if (this.#ended) return
+  /** Adds a received frame. The last message of a response may carry none (`null`); later ones are ignored. */
+  addFrame (frame: AnswerFrame | null, isLast: boolean): void {
+    if (this.#hasEnded) return
     if (frame !== null) this.#frames.push(frame)
-    this.#ended = last
-    this.#wake?.()
+    this.#hasEnded = isLast
+    this.#wakeReader?.()
   }
 
-  /** Ends the channel; frames already received are still delivered before `error` is thrown. */
+  /** Ends the channel. Frames that were already received are still delivered before `error` is thrown to the reader. */
   closeWithError (error: Error): void {
-    if (this.#ended) return
-    this.#ended = true
+    if (this.#hasEnded) return
+    this.#hasEnded = true
     this.#error = error
-    this.#wake?.()
+    this.#wakeReader?.()
   }
 
-  /** @throws the error given to `closeWithError` */
+  /**
+   * Yields the frames in order until the last one.
+   *
+   * @throws the error given to `closeWithError`
+   */
   async * readFrames (): AsyncGenerator<AnswerFrame, void, void> {
     while (true) {
       const frame = this.#frames.shift()
@@ -43,15 +49,15 @@
         continue
       }
       if (this.#error !== undefined) throw this.#error
-      if (this.#ended) return
-      await new Promise<void>(resolve => { this.#wake = resolve })
+      if (this.#hasEnded) return
+      await new Promise<void>(resolve => { this.#wakeReader = resolve })
     }
   }
 
   #recordConsumed (): void {
-    this.#consumed += 1
-    if (this.#consumed < CREDIT_BATCH || this.#ended) return
-    this.#grantCredit(this.#consumed)
-    this.#consumed = 0
+    this.#consumedSinceGrant += 1
+    if (this.#consumedSinceGrant < CREDIT_GRANT_FRAMES || this.#hasEnded) return
+    this.#grantCredit(this.#consumedSinceGrant)
+    this.#consumedSinceGrant = 0
   }
 }
--- a/packages/proxy/src/statements/remote-statements.ts
+++ b/packages/proxy/src/statements/remote-statements.ts
@@ -8,7 +8,7 @@
   channel: FrameChannel
 }
 
-/** Runs statements on other VMs and receives their answers. */
+/** Runs statements on other VMs and receives the responses. */
 export class RemoteStatements {
   readonly #peers: PeerNetwork
   readonly #streams = new Map<number, RemoteStream>()
@@ -16,33 +16,36 @@
 
   constructor (peers: PeerNetwork) {
     this.#peers = peers
-    peers.subscribeLoss((vm, loss) => this.#handleLoss(vm, loss))
+    peers.subscribeLoss((vm, loss) => this.#handleLinkLoss(vm, loss))
   }
 
   /**
-   * @throws StreamLostError when the link is lost before the answer is whole
-   * @throws StreamNotStartedError when there is no link, so that the statement has not run
+   * Runs a statement on `vm` and yields the frames of its response. Returning the generator early cancels the statement.
+   *
+   * @throws StreamLostError if the link is lost before the response is complete; the statement may have run
+   * @throws StreamNotStartedError if the VM is unreachable, so that the statement has not run
    */
   async * run (vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
     const stream = this.#nextStream++
     const channel = new FrameChannel(frames => this.#send(vm, { type: 'credit', stream, frames }))
     this.#streams.set(stream, { vm, channel })
     this.#send(vm, { type: 'run', stream, request })
-    let completed = false
+    let isComplete = false
     try {
       yield * channel.readFrames()
-      completed = true
+      isComplete = true
     } finally {
       this.#streams.delete(stream)
-      if (!completed) this.#send(vm, { type: 'cancel', stream })
+      if (!isComplete) this.#send(vm, { type: 'cancel', stream })
     }
   }
 
+  /** Requests that `vm` rolls back the transaction; there is no response. */
   abandon (vm: string, database: string, transactionId: string): void {
     this.#send(vm, { type: 'abandon', database, transactionId })
   }
 
-  /** Takes a `frame` message; one for an unknown stream is answered by `cancel`. */
+  /** Handles a `frame` message. For an unknown stream, or one of another VM, it responds with `cancel`. */
   handleFrame (vm: string, message: StatementMessage & { type: 'frame' }): void {
     const stream = this.#streams.get(message.stream)
     if (stream === undefined || stream.vm !== vm) {
@@ -52,15 +55,16 @@
     stream.channel.addFrame(message.frame, message.last)
   }
 
+  /** Counts the statements in flight on other VMs. */
   countStreams (): number {
     return this.#streams.size
   }
 
-  #handleLoss (vm: string, loss: LinkLoss): void {
+  #handleLinkLoss (vm: string, loss: LinkLoss): void {
     for (const [id, stream] of this.#streams) {
       if (stream.vm !== vm) continue
       this.#streams.delete(id)
-      stream.channel.closeWithError(loss === 'closed' ? new StreamLostError(`the link to ${vm} was lost`) : new StreamNotStartedError(`${vm} cannot be reached`))
+      stream.channel.closeWithError(loss === 'closed' ? new StreamLostError(`link to VM ${vm} was lost before the response was complete`) : new StreamNotStartedError(`VM ${vm} is unreachable`))
     }
   }
 
@@ -69,7 +73,7 @@
   }
 }
 
-/** `undefined` for a malformed message. */
+/** Validates a message of the `statements` slice. Returns `undefined` if it is malformed. */
 export function parseStatementMessage (body: unknown): StatementMessage | undefined {
   const result = statementMessageSchema.safeParse(body)
   return result.success ? result.data : undefined
--- a/packages/proxy/src/statements/statement-router.ts
+++ b/packages/proxy/src/statements/statement-router.ts
@@ -4,12 +4,13 @@
 import { StreamLostError, StreamNotStartedError } from './errors.ts'
 import type { RemoteStatements } from './remote-statements.ts'
 
-/** Serving VMs that one statement may be offered to. */
-const MAX_ATTEMPTS = 3
-/** When a caller should come back after no VM could serve its database. */
-const NO_VM_RETRY_MS = 500
+/** Maximum number of serving VMs that are tried for one statement. */
+const MAX_VM_ATTEMPTS = 3
+/** Delay after which a client should retry when no VM could serve its database. */
+const NO_SERVING_VM_RETRY_AFTER_MS = 500
 
 export interface StatementRouterOptions {
+  /** Name of this VM. */
   self: string
   clock: Clock
   logger: Logger
@@ -18,87 +19,96 @@
   findService: FindService
 }
 
-/** An answer's frames, and the VM that gives them. */
+/** One frame of a response, and the VM that sent it. */
 export interface RoutedFrame {
   vm: string
   frame: AnswerFrame
 }
 
 export interface StatementRouter {
-  /** Runs a statement on a VM that serves its database; `pinnedVm` holds its transaction. */
+  /**
+   * Runs a statement on a VM that serves its database, or only on `pinnedVm`, which holds its transaction.
+   * A failure to reach or keep a serving VM is yielded as a refusal, not thrown.
+   */
   run: (request: StatementRequest, pinnedVm: string | null) => AsyncGenerator<RoutedFrame, void, void>
+  /** Rolls back a transaction on the VM that holds it; there is no response. */
   abandon: (vm: string, database: string, transactionId: string) => void
 }
 
-/** Creates the part of an entry VM that hands statements to serving VMs. */
+/** Creates the router with which an entry VM sends statements to serving VMs, itself included. */
 export function createStatementRouter (options: StatementRouterOptions): StatementRouter {
   const { self, placement, remote, findService } = options
   return {
-    run: (request, pinnedVm) => runRouted(options, request, pinnedVm),
+    run: (request, pinnedVm) => runOnCandidates(options, request, pinnedVm),
     abandon: (vm, database, transactionId) => {
       if (vm === self) findService(database, transactionId)?.abandon(transactionId)
       else remote.abandon(vm, database, transactionId)
     }
   }
 
-  async function * runRouted (o: StatementRouterOptions, request: StatementRequest, pinnedVm: string | null): AsyncGenerator<RoutedFrame, void, void> {
-    const candidates = pinnedVm === null ? placement.listServingVms(request.database).slice(0, MAX_ATTEMPTS) : [pinnedVm]
-    const deadlineMs = o.clock.readNow() + request.timeoutMs
+  async function * runOnCandidates (routerOptions: StatementRouterOptions, request: StatementRequest, pinnedVm: string | null): AsyncGenerator<RoutedFrame, void, void> {
+    const candidates = pinnedVm === null ? placement.listServingVms(request.database).slice(0, MAX_VM_ATTEMPTS) : [pinnedVm]
+    const deadlineMs = routerOptions.clock.readNow() + request.timeoutMs
     for (const vm of candidates) {
-      const timeoutMs = deadlineMs - o.clock.readNow()
+      const timeoutMs = deadlineMs - routerOptions.clock.readNow()
       if (timeoutMs <= 0) break
-      o.logger.debug('statement routed to VM', { request: request.requestId, workspace: request.workspace, database: request.database, vm, reason: pinnedVm === null ? 'placement' : 'transaction' })
-      const outcome = yield * runAttempt(o, vm, { ...request, timeoutMs })
-      if (outcome === 'answered') return
+      routerOptions.logger.debug('statement routed to VM', { request: request.requestId, workspace: request.workspace, database: request.database, vm, reason: pinnedVm === null ? 'placement' : 'transaction' })
+      const outcome = yield * runAttempt(routerOptions, vm, { ...request, timeoutMs })
+      if (outcome === 'responded') return
     }
-    yield { vm: self, frame: describeNoVm(request) }
+    yield { vm: self, frame: createNoServingVmRefusal(request) }
   }
 }
 
-type AttemptOutcome = 'answered' | 'not run'
+/** `'not run'`: the next VM may be tried. */
+type AttemptOutcome = 'responded' | 'not run'
 
 async function * runAttempt (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<RoutedFrame, AttemptOutcome, void> {
-  let answered = false
+  let hasResponded = false
   try {
-    for await (const frame of openFrames(options, vm, request)) {
+    for await (const frame of runOnVm(options, vm, request)) {
       if (frame.kind === 'notServing') return 'not run'
-      answered = true
+      hasResponded = true
       yield { vm, frame }
     }
-    return 'answered'
+    return 'responded'
   } catch (error) {
     if (error instanceof StreamNotStartedError) return 'not run'
     if (!(error instanceof StreamLostError)) throw error
-    options.logger.info('serving VM lost', { request: request.requestId, vm, answered })
-    if (!answered && canRepeat(request)) return 'not run'
-    yield { vm, frame: describeLoss(request) }
-    return 'answered'
+    options.logger.info('link to serving VM lost during statement', { request: request.requestId, vm, hasResponded })
+    if (!hasResponded && canRetry(request)) return 'not run'
+    yield { vm, frame: createLinkLossRefusal(request) }
+    return 'responded'
   }
 }
 
-function openFrames (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+function runOnVm (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
   if (vm !== options.self) return options.remote.run(vm, request)
   const service = options.findService(request.database, request.transactionId)
-  return service === undefined ? answerNotServing() : service.run(request)
+  return service === undefined ? respondNotServing() : service.run(request)
 }
 
-async function * answerNotServing (): AsyncGenerator<AnswerFrame, void, void> {
+async function * respondNotServing (): AsyncGenerator<AnswerFrame, void, void> {
   yield { kind: 'notServing' }
 }
 
-/** Reads have no effect, a named write is recorded with its effect, and a begin leaves nothing that outlives its VM. */
-function canRepeat (request: StatementRequest): boolean {
+/**
+ * Whether a request whose VM was lost may run again on another VM. A read has no effect, a write with a
+ * `writeId` is recorded together with its effect, so that a second run is recognized, and a begin leaves
+ * nothing that outlives its VM.
+ */
+function canRetry (request: StatementRequest): boolean {
   if (request.transactionId !== null) return false
   return request.class === 'read' || request.class === 'begin' || request.writeId !== null
 }
 
-function describeLoss (request: StatementRequest): AnswerFrame {
-  const inTransaction = request.transactionId !== null && request.class !== 'commit'
-  if (inTransaction) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction was lost' } }
+function createLinkLossRefusal (request: StatementRequest): AnswerFrame {
+  const isInTransaction = request.transactionId !== null && request.class !== 'commit'
+  if (isInTransaction) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction was lost' } }
   return { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: 'the serving VM was lost before its answer was whole' } }
 }
 
-function describeNoVm (request: StatementRequest): AnswerFrame {
+function createNoServingVmRefusal (request: StatementRequest): AnswerFrame {
   if (request.transactionId !== null) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction no longer serves it' } }
-  return { kind: 'refused', refusal: { kind: 'notRunRetry', reason: 'no VM serves the database now', retryAfterMs: NO_VM_RETRY_MS } }
+  return { kind: 'refused', refusal: { kind: 'notRunRetry', reason: 'no VM serves the database now', retryAfterMs: NO_SERVING_VM_RETRY_AFTER_MS } }
 }
