--- a/packages/proxy/src/app.ts
+++ b/packages/proxy/src/app.ts
@@ -54,7 +54,7 @@
   const fleet = await startFleetSlices(base)
   // Without a view of the fleet this VM would hold itself for the only one and open connections to every group.
   await fleet.membership.waitJoined()
-  await fleet.configuration.waitReady()
+  await fleet.configuration.waitUntilReady()
   const { served, router } = startStatements(base, fleet)
   const listener = await startCallers(base, fleet, router)
   const metricsServer = await startMetricsServer(base.metrics, settings.metrics.host, settings.metrics.port)
--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -4,16 +4,16 @@
 import { isCurrent } from './currency.ts'
 import { FakeFleet, type DecideConfiguration, type FakeVm } from './fake-fleet.ts'
 import { applyDelta, createObjectSet, formatKey, recordFullListing } from './object-set.ts'
-import { SILENCE_MS, STALENESS_LIMIT_MS } from './state.ts'
+import { UNRESPONSIVE_PEER_SKIP_MS, STALENESS_LIMIT_MS } from './state.ts'
 
 const VMS = 6
 const MAX_WATCHERS = 3
 const FAULTS_END_MS = 7_000
-const MAX_FAULT_MS = 8_000
-const IN_FORCE_MS = 6_000
-const WITHDRAWN_MS = 3_000
+const MAX_FAULT_DURATION_MS = 8_000
+const MAX_PROPAGATION_MS = 6_000
+const MAX_WITHDRAWAL_MS = 3_000
 /** By then, all VMs that nothing cuts off have a change. */
-const SETTLED_MS = 3_000
+const SETTLE_TIME_MS = 3_000
 const STEP_MS = 250
 const RUNS = 1_000
 /** Other seeds can be tried from the command line; a failure prints the one to repeat. */
@@ -21,7 +21,7 @@
 
 const timeArbitrary = fc.integer({ min: 0, max: FAULTS_END_MS })
 const vmArbitrary = fc.integer({ min: 0, max: VMS - 1 })
-const lengthArbitrary = fc.integer({ min: 300, max: MAX_FAULT_MS })
+const faultDurationArbitrary = fc.integer({ min: 300, max: MAX_FAULT_DURATION_MS })
 const groupArbitrary = fc.uniqueArray(vmArbitrary, { minLength: 1, maxLength: VMS })
 const eventArbitrary = fc.oneof(
   {
@@ -35,13 +35,13 @@
       count: fc.integer({ min: 1, max: 4 })
     })
   },
-  fc.record({ type: fc.constant('restart' as const), atMs: timeArbitrary, vm: vmArbitrary, forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('cutService' as const), atMs: timeArbitrary, group: groupArbitrary, forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('isolate' as const), atMs: timeArbitrary, vm: vmArbitrary, forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('cutGroup' as const), atMs: timeArbitrary, group: groupArbitrary, forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('cutPairs' as const), atMs: timeArbitrary, pairs: fc.array(fc.tuple(vmArbitrary, vmArbitrary), { minLength: 1, maxLength: 6 }), forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('outage' as const), atMs: timeArbitrary, forMs: lengthArbitrary }),
-  fc.record({ type: fc.constant('slow' as const), atMs: timeArbitrary, forMs: lengthArbitrary, slowMs: fc.integer({ min: 10, max: 1_500 }) })
+  fc.record({ type: fc.constant('restart' as const), atMs: timeArbitrary, vm: vmArbitrary, forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('cutService' as const), atMs: timeArbitrary, group: groupArbitrary, forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('isolate' as const), atMs: timeArbitrary, vm: vmArbitrary, forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('cutGroup' as const), atMs: timeArbitrary, group: groupArbitrary, forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('cutPairs' as const), atMs: timeArbitrary, pairs: fc.array(fc.tuple(vmArbitrary, vmArbitrary), { minLength: 1, maxLength: 6 }), forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('outage' as const), atMs: timeArbitrary, forMs: faultDurationArbitrary }),
+  fc.record({ type: fc.constant('slow' as const), atMs: timeArbitrary, forMs: faultDurationArbitrary, slowMs: fc.integer({ min: 10, max: 1_500 }) })
 )
 type FaultEvent = typeof eventArbitrary extends fc.Arbitrary<infer T> ? T : never
 const scenarioArbitrary = fc.record({
@@ -70,9 +70,9 @@
       return applyServiceCut(fleet, event.group, event.forMs)
     case 'isolate':
       applyServiceCut(fleet, [event.vm], event.forMs)
-      return applyLinkCut(fleet, listBorder([event.vm]), event.forMs)
+      return applyLinkCut(fleet, listPairsAcross([event.vm]), event.forMs)
     case 'cutGroup':
-      return applyLinkCut(fleet, listBorder(event.group), event.forMs)
+      return applyLinkCut(fleet, listPairsAcross(event.group), event.forMs)
     case 'cutPairs':
       return applyLinkCut(fleet, event.pairs, event.forMs)
     case 'outage':
@@ -86,7 +86,7 @@
 }
 
 /** All pairs of a VM within the group and one outside. */
-function listBorder (group: number[]): Array<[number, number]> {
+function listPairsAcross (group: number[]): Array<[number, number]> {
   const others = Array.from({ length: VMS }, (_, i) => i).filter(i => !group.includes(i))
   return group.flatMap(a => others.map((b): [number, number] => [a, b]))
 }
@@ -103,7 +103,7 @@
 }
 
 /** VMs with a path to the object service, through peers or their own; watchers alone begin one. */
-function findConnected (fleet: FakeFleet, isSource: (vm: FakeVm) => boolean): Set<FakeVm> {
+function findVmsWithServicePath (fleet: FakeFleet, isSource: (vm: FakeVm) => boolean): Set<FakeVm> {
   const running = fleet.vms.filter(v => v.isUp && v.state.isReady)
   const found = new Set(running.filter(v => !fleet.service.isDown && !fleet.cutFromService.has(v.name) && isSource(v)))
   for (const a of found) {
@@ -116,13 +116,13 @@
 function hasMajority (fleet: FakeFleet, vm: FakeVm): boolean {
   if (!vm.isUp || !vm.state.isReady) return false
   const isLinked = (a: FakeVm, b: FakeVm) => b.isUp && b.state.isReady && !fleet.cutLinks.has(`${a.name}|${b.name}`)
-  const near = fleet.vms.filter(b => isLinked(vm, b))
-  const clique = near.filter(b => near.every(c => isLinked(b, c)))
+  const reachable = fleet.vms.filter(b => isLinked(vm, b))
+  const clique = reachable.filter(b => reachable.every(c => isLinked(b, c)))
   return clique.length > fleet.vms.length / 2
 }
 
 /** What a naive, obviously right reader of the store's log says was current at a time. */
-function listCurrentAt (fleet: FakeFleet, atMs: number): StoredObject[] {
+function listExpectedObjects (fleet: FakeFleet, atMs: number): StoredObject[] {
   const current = new Map<string, StoredObject>()
   for (const a of fleet.service.accepted) if (a.atMs <= atMs) current.set(formatKey(a.object), a.object)
   return [...current.values()]
@@ -133,9 +133,9 @@
  * only by absence, so holding nothing is right where a later deletion was accepted.
  */
 function isBehind (fleet: FakeFleet, vm: FakeVm, wanted: StoredObject): boolean {
-  const held = vm.inForce.get(formatKey(wanted))
-  if (held !== undefined && held.revision >= wanted.revision) return false
-  if (held !== undefined && held.value !== null) return true
+  const stored = vm.inForce.get(formatKey(wanted))
+  if (stored !== undefined && stored.revision >= wanted.revision) return false
+  if (stored !== undefined && stored.value !== null) return true
   if (wanted.value === null) return false
   const isDeletion = (o: StoredObject) => o.value === null && o.revision >= wanted.revision && formatKey(o) === formatKey(wanted)
   return !fleet.service.accepted.some(a => isDeletion(a.object))
@@ -143,12 +143,12 @@
 
 class Observer {
   readonly problems: string[] = []
-  readonly connectedSinceMs = new Map<string, number>()
-  readonly watchedSinceMs = new Map<string, number>()
+  readonly lastWithoutPathMs = new Map<string, number>()
+  readonly lastWithoutWatcherPathMs = new Map<string, number>()
   /** Revisions put in force by the VM in any process, with time. */
   readonly published = new Map<string, Array<{ atMs: number, object: StoredObject }>>()
   /** When a VM last lacked direct links to a majority of the fleet. */
-  readonly majoritySinceMs = new Map<string, number>()
+  readonly lastWithoutMajorityMs = new Map<string, number>()
 
   recordPublish (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined, nowMs: number): void {
     if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} went back to ${object.revision} of ${formatKey(object)} at ${nowMs}`)
@@ -159,16 +159,16 @@
 
   checkInForce (fleet: FakeFleet): void {
     const { nowMs } = fleet
-    const connected = findConnected(fleet, () => true)
-    const watched = findConnected(fleet, v => v.state.watchers.has(v.name))
-    const accepted = listCurrentAt(fleet, nowMs - IN_FORCE_MS)
-    const withdrawn = listCurrentAt(fleet, nowMs - WITHDRAWN_MS).filter(o => o.kind === 'key-ring')
+    const withPath = findVmsWithServicePath(fleet, () => true)
+    const withWatcherPath = findVmsWithServicePath(fleet, v => v.state.watchers.has(v.name))
+    const mustBeInForce = listExpectedObjects(fleet, nowMs - MAX_PROPAGATION_MS)
+    const mustBeWithdrawn = listExpectedObjects(fleet, nowMs - MAX_WITHDRAWAL_MS).filter(o => o.kind === 'key-ring')
     for (const vm of fleet.vms) {
-      if (!hasMajority(fleet, vm)) this.majoritySinceMs.set(vm.name, nowMs)
-      if (!connected.has(vm)) this.connectedSinceMs.set(vm.name, nowMs)
-      if (!watched.has(vm) || fleet.service.slowMs > 0) this.watchedSinceMs.set(vm.name, nowMs)
-      this.checkVm(fleet, vm, accepted, IN_FORCE_MS, this.connectedSinceMs.get(vm.name) ?? 0)
-      this.checkVm(fleet, vm, withdrawn, WITHDRAWN_MS, this.watchedSinceMs.get(vm.name) ?? 0)
+      if (!hasMajority(fleet, vm)) this.lastWithoutMajorityMs.set(vm.name, nowMs)
+      if (!withPath.has(vm)) this.lastWithoutPathMs.set(vm.name, nowMs)
+      if (!withWatcherPath.has(vm) || fleet.service.slowMs > 0) this.lastWithoutWatcherPathMs.set(vm.name, nowMs)
+      this.checkVm(fleet, vm, mustBeInForce, MAX_PROPAGATION_MS, this.lastWithoutPathMs.get(vm.name) ?? 0)
+      this.checkVm(fleet, vm, mustBeWithdrawn, MAX_WITHDRAWAL_MS, this.lastWithoutWatcherPathMs.get(vm.name) ?? 0)
     }
   }
 
@@ -183,7 +183,7 @@
   checkRestart (fleet: FakeFleet, vm: FakeVm, stoppedAtMs: number, hadMajority: boolean): void {
     if (!hadMajority) return
     for (const { atMs, object } of this.published.get(vm.name) ?? []) {
-      if (atMs > stoppedAtMs - SETTLED_MS) continue
+      if (atMs > stoppedAtMs - SETTLE_TIME_MS) continue
       if (isBehind(fleet, vm, object)) this.problems.push(`${vm.name} restarted with less than ${object.revision} of ${formatKey(object)}`)
     }
   }
@@ -205,11 +205,11 @@
   for (const e of events) {
     fleet.schedule(1_000 + e.atMs, () => {
       const vm = e.type === 'restart' ? fleet.vms[e.vm] : undefined
-      if (vm?.isUp === true && vm.state.isReady) stops.set(vm.name, { atMs: fleet.nowMs, hadMajority: fleet.nowMs - (observer.majoritySinceMs.get(vm.name) ?? 0) > SETTLED_MS })
+      if (vm?.isUp === true && vm.state.isReady) stops.set(vm.name, { atMs: fleet.nowMs, hadMajority: fleet.nowMs - (observer.lastWithoutMajorityMs.get(vm.name) ?? 0) > SETTLE_TIME_MS })
       applyEvent(fleet, e)
     })
   }
-  for (let i = 0; i < (FAULTS_END_MS + MAX_FAULT_MS + 1_000 + IN_FORCE_MS + 1_000) / STEP_MS; i++) {
+  for (let i = 0; i < (FAULTS_END_MS + MAX_FAULT_DURATION_MS + 1_000 + MAX_PROPAGATION_MS + 1_000) / STEP_MS; i++) {
     fleet.runFor(STEP_MS)
     observer.checkInForce(fleet)
     for (const [name, stop] of stops) {
@@ -227,15 +227,15 @@
 const decideNaively: DecideConfiguration = (state, message) => {
   state.isReady = true
   if (message.type === 'members') state.members = message.members
-  if (message.type === 'tick' && state.openCalls === 0) {
-    state.openCalls = 1
-    return { state, effects: [{ type: 'watch', since: state.set.revision, waitMs: 1_000 }] }
+  if (message.type === 'tick' && state.pendingCalls === 0) {
+    state.pendingCalls = 1
+    return { state, effects: [{ type: 'watch', since: state.objectSet.revision, waitMs: 1_000 }] }
   }
-  if (message.type === 'serviceFailed') state.openCalls = 0
+  if (message.type === 'serviceFailed') state.pendingCalls = 0
   if (message.type === 'peer' && message.body.type === 'push') return { state, effects: [{ type: 'publish', objects: message.body.objects }] }
   if (message.type !== 'watched') return { state, effects: [] }
-  state.openCalls = 0
-  state.set.revision = message.result.revision
+  state.pendingCalls = 0
+  state.objectSet.revision = message.result.revision
   const { changes } = message.result
   const body = { type: 'push' as const, from: message.since, to: message.result.revision, objects: changes }
   return { state, effects: [{ type: 'publish', objects: changes }, ...state.members.map(m => ({ type: 'send' as const, to: m.vm, body }))] }
@@ -272,7 +272,7 @@
     expect(fleet.vms.map(v => isCurrent(v.state, fleet.nowMs))).deep.equal([false, false, false, true, true, true, true, true, true])
     fleet.cutLinks.clear()
     for (const a of region) fleet.setMembers(a, members)
-    fleet.runFor(SILENCE_MS + 5_000)
+    fleet.runFor(UNRESPONSIVE_PEER_SKIP_MS + 5_000)
     expect(fleet.vms.map(v => isCurrent(v.state, fleet.nowMs))).not.include(false)
   })
 
@@ -283,7 +283,7 @@
     fleet.cutFromService.add(lagging.name)
     for (const v of [restarted, ...others]) fleet.cutLink(v.name, lagging.name)
     fleet.service.writeObject('key-ring', 'ash', { keys: [] }, fleet.nowMs)
-    fleet.runFor(SETTLED_MS)
+    fleet.runFor(SETTLE_TIME_MS)
     fleet.service.isDown = true
     fleet.stopVm(restarted)
     fleet.cutLinks.clear()
@@ -292,7 +292,7 @@
       fleet.cutLink(v.name, lagging.name)
     }
     fleet.startVm(restarted)
-    fleet.runFor(IN_FORCE_MS)
+    fleet.runFor(MAX_PROPAGATION_MS)
     expect(restarted.state.isReady).equal(false)
     fleet.cutLinks.clear()
     while (!restarted.state.isReady) fleet.runFor(STEP_MS)
@@ -303,18 +303,18 @@
     const fleet = new FakeFleet({ vms: 3 })
     const [restarted, other, lagging] = fleet.vms as [FakeVm, FakeVm, FakeVm]
     fleet.service.writeObject('key-ring', 'ash', { keys: [] }, 0)
-    fleet.runFor(SETTLED_MS)
+    fleet.runFor(SETTLE_TIME_MS)
     fleet.cutFromService.add(lagging.name)
     for (const v of [restarted, other]) fleet.cutLink(v.name, lagging.name)
-    fleet.runFor(SETTLED_MS)
+    fleet.runFor(SETTLE_TIME_MS)
     fleet.service.writeObject('key-ring', 'ash', null, fleet.nowMs)
     fleet.stopVm(restarted)
     fleet.startVm(restarted)
-    fleet.runFor(SETTLED_MS)
+    fleet.runFor(SETTLE_TIME_MS)
     expect(lagging.inForce.get('key-ring/ash')?.value).not.equal(null)
     fleet.cutLinks.clear()
     fleet.cutLink(other.name, lagging.name)
-    fleet.runFor(WITHDRAWN_MS)
+    fleet.runFor(MAX_WITHDRAWAL_MS)
     expect(lagging.inForce.get('key-ring/ash')?.value).equal(null)
   })
 
--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -23,9 +23,9 @@
 export class Configuration extends ConfigurationView {
   readonly #host: ConfigurationHost
   readonly #values = createObjectValues()
-  readonly #invalid = new Set<string>()
+  readonly #invalidKeys = new Set<string>()
   readonly #listeners: Array<(kind: string, name: string) => void> = []
-  readonly #readyWaits: Array<() => void> = []
+  readonly #readyResolvers: Array<() => void> = []
 
   constructor (host: ConfigurationHost) {
     super()
@@ -37,10 +37,10 @@
     const key = `${object.kind}/${object.name}`
     const problem = applyValue(this.#values, object)
     if (problem !== null) {
-      this.#invalid.add(key)
+      this.#invalidKeys.add(key)
       return problem
     }
-    this.#invalid.delete(key)
+    this.#invalidKeys.delete(key)
     for (const l of this.#listeners) l(object.kind, object.name)
     return null
   }
@@ -87,19 +87,19 @@
   }
 
   /** Resolves once ready. */
-  async waitReady (): Promise<void> {
+  async waitUntilReady (): Promise<void> {
     if (this.isReady()) return
-    await new Promise<void>(resolve => { this.#readyWaits.push(resolve) })
+    await new Promise<void>(resolve => { this.#readyResolvers.push(resolve) })
   }
 
   /** Called by the host after each message. */
-  handleProgress (): void {
-    if (this.#readyWaits.length === 0 || !this.isReady()) return
-    for (const resolve of this.#readyWaits.splice(0)) resolve()
+  resolveReadyWaiters (): void {
+    if (this.#readyResolvers.length === 0 || !this.isReady()) return
+    for (const resolve of this.#readyResolvers.splice(0)) resolve()
   }
 
   readReport (): ConfigurationReport {
-    return { ...this.#host.readReport(), invalidObjects: [...this.#invalid] }
+    return { ...this.#host.readReport(), invalidObjects: [...this.#invalidKeys] }
   }
 
   subscribe (listener: (kind: string, name: string) => void): void {
--- a/packages/proxy/src/configuration/currency.ts
+++ b/packages/proxy/src/configuration/currency.ts
@@ -1,8 +1,8 @@
-import { FALLBACK_AGE_MS, FLEET_MEMORY_MS, STALENESS_LIMIT_MS, type ConfigurationState } from './state.ts'
+import { FALLBACK_AGE_MS, FLEET_SHRINK_DELAY_MS, STALENESS_LIMIT_MS, type ConfigurationState } from './state.ts'
 
 /** Milliseconds since this VM surely had all that was accepted; `Infinity` before the first proof. */
 export function computeAgeMs (state: ConfigurationState, nowMs: number): number {
-  return Math.max(0, nowMs - state.provenAtMs)
+  return Math.max(0, nowMs - state.completeAsOfMs)
 }
 
 /**
@@ -19,19 +19,19 @@
 }
 
 /** Keeps the size of the fleet; a shrunken fleet counts only after it has lasted, with proof. */
-export function recordFleetSize (state: ConfigurationState, nowMs: number): void {
+export function updateFleetSize (state: ConfigurationState, nowMs: number): void {
   const size = state.members.length
   if (size >= state.fleetSize) {
     state.fleetSize = size
-    state.smallerSinceMs = null
+    state.fleetSmallerSinceMs = null
     return
   }
   if (computeAgeMs(state, nowMs) > FALLBACK_AGE_MS) {
-    state.smallerSinceMs = null
+    state.fleetSmallerSinceMs = null
     return
   }
-  state.smallerSinceMs ??= nowMs
-  if (nowMs - state.smallerSinceMs < FLEET_MEMORY_MS) return
+  state.fleetSmallerSinceMs ??= nowMs
+  if (nowMs - state.fleetSmallerSinceMs < FLEET_SHRINK_DELAY_MS) return
   state.fleetSize = size
-  state.smallerSinceMs = null
+  state.fleetSmallerSinceMs = null
 }
--- a/packages/proxy/src/configuration/decision.ts
+++ b/packages/proxy/src/configuration/decision.ts
@@ -1,7 +1,7 @@
 import type { Decide, Step } from '@camphorpitch/wire'
-import { recordFleetSize } from './currency.ts'
-import { decidePoll, decideReady, handlePeerMessage } from './gossip.ts'
-import { decideCall, handleListed, handleServiceFailed, handleWatched } from './service-calls.ts'
+import { updateFleetSize } from './currency.ts'
+import { decidePoll, decideStartFromPeers, handlePeerMessage } from './gossip.ts'
+import { decideServiceCall, handleListed, handleServiceFailed, handleWatched } from './service-calls.ts'
 import type { ConfigurationEffect, ConfigurationMessage, ConfigurationState } from './state.ts'
 import { selectWatchers } from './watchers.ts'
 
@@ -24,8 +24,8 @@
 }
 
 function handleTick (state: ConfigurationState, nowMs: number): ConfigurationEffect[] {
-  recordFleetSize(state, nowMs)
-  return [...decideReady(state, nowMs), ...decideCall(state, nowMs), ...decidePoll(state, nowMs)]
+  updateFleetSize(state, nowMs)
+  return [...decideStartFromPeers(state, nowMs), ...decideServiceCall(state, nowMs), ...decidePoll(state, nowMs)]
 }
 
 function handleMembers (state: ConfigurationState, members: ConfigurationState['members']): ConfigurationEffect[] {
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -3,10 +3,10 @@
 import { decideConfiguration } from './decision.ts'
 import { FakeObjectService } from './fake-object-service.ts'
 import { formatKey } from './object-set.ts'
-import { createConfigurationState, TICK_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
+import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
 
 /** Longest delay of a message between VMs, in milliseconds; each message draws its own, so they cross. */
-const MAX_DELAY_MS = 40
+const MAX_MESSAGE_DELAY_MS = 40
 
 export type DecideConfiguration = Decide<ConfigurationState, ConfigurationMessage, ConfigurationEffect>
 
@@ -46,7 +46,7 @@
   readonly #options: FakeFleetOptions
   readonly #decide: DecideConfiguration
   readonly #random: () => number
-  readonly #due = new Map<number, Array<() => void>>()
+  readonly #scheduledTasks = new Map<number, Array<() => void>>()
 
   constructor (options: FakeFleetOptions) {
     const { seed = 1, vms, failureDomains = 3, historyLength = 1_000, decide = decideConfiguration } = options
@@ -62,8 +62,8 @@
 
   schedule (delayMs: number, run: () => void): void {
     const at = this.nowMs + Math.max(1, Math.round(delayMs))
-    const list = this.#due.get(at)
-    if (list === undefined) this.#due.set(at, [run])
+    const list = this.#scheduledTasks.get(at)
+    if (list === undefined) this.#scheduledTasks.set(at, [run])
     else list.push(run)
   }
 
@@ -71,9 +71,9 @@
     const end = this.nowMs + durationMs
     while (this.nowMs < end) {
       this.nowMs += 1
-      const list = this.#due.get(this.nowMs)
+      const list = this.#scheduledTasks.get(this.nowMs)
       if (list === undefined) continue
-      this.#due.delete(this.nowMs)
+      this.#scheduledTasks.delete(this.nowMs)
       for (const run of list) run()
     }
   }
@@ -85,7 +85,7 @@
     vm.inForce = new Map()
     vm.state = this.#createState(vm.name, vm.incarnation)
     this.#deliver(vm, { type: 'members', members: this.#listMembers() })
-    this.#scheduleTick(vm, vm.incarnation, Math.floor(this.#random() * TICK_MS))
+    this.#scheduleTick(vm, vm.incarnation, Math.floor(this.#random() * TICK_INTERVAL_MS))
   }
 
   stopVm (vm: FakeVm): void {
@@ -123,7 +123,7 @@
     this.schedule(delayMs, () => {
       if (!vm.isUp || vm.incarnation !== incarnation) return
       this.#deliver(vm, { type: 'tick' })
-      this.#scheduleTick(vm, incarnation, TICK_MS)
+      this.#scheduleTick(vm, incarnation, TICK_INTERVAL_MS)
     })
   }
 
@@ -158,7 +158,7 @@
     for (let i = 0; i < copies; i++) {
       if (this.#random() < this.lossRate || this.cutLinks.has(`${from.name}|${to}`)) continue
       const receiver = this.vms[Number(to.slice(3))]
-      const delayMs = 1 + this.#random() * MAX_DELAY_MS
+      const delayMs = 1 + this.#random() * MAX_MESSAGE_DELAY_MS
       if (receiver !== undefined) this.schedule(delayMs, () => this.#deliver(receiver, { type: 'peer', from: from.name, body }))
     }
   }
--- a/packages/proxy/src/configuration/fake-object-service.ts
+++ b/packages/proxy/src/configuration/fake-object-service.ts
@@ -5,11 +5,11 @@
 
 /** Time after which a call without an answer fails, in milliseconds, besides what a watch waits. */
 const CALL_TIMEOUT_MS = 5_000
-const CALL_MS = 2
+const RESPONSE_DELAY_MS = 2
 
 type Schedule = (delayMs: number, run: () => void) => void
 type Call = Extract<ConfigurationEffect, { type: 'list' | 'watch' }>
-type Answer = (message: ConfigurationMessage) => void
+type Respond = (message: ConfigurationMessage) => void
 
 interface Waiter {
   run: () => void
@@ -45,38 +45,38 @@
     return true
   }
 
-  request (call: Call, sentAtMs: number, isCut: boolean, answer: Answer): void {
+  request (call: Call, sentAtMs: number, isCut: boolean, respond: Respond): void {
     this.calls += call.type === 'list' ? configurationKinds.length : 1
-    let isDone = false
-    const settle: Answer = message => {
-      if (isDone) return
-      isDone = true
-      answer(message)
+    let isSettled = false
+    const settle: Respond = message => {
+      if (isSettled) return
+      isSettled = true
+      respond(message)
     }
     const waitMs = call.type === 'watch' ? call.waitMs : 0
     this.#schedule(CALL_TIMEOUT_MS + waitMs, () => settle({ type: 'serviceFailed', sentAtMs, isExpired: false }))
     if (isCut) return
-    this.#schedule(CALL_MS + this.slowMs, () => {
+    this.#schedule(RESPONSE_DELAY_MS + this.slowMs, () => {
       if (this.isDown) return settle({ type: 'serviceFailed', sentAtMs, isExpired: false })
-      if (call.type === 'list') this.#answerList(sentAtMs, settle)
-      else this.#answerWatch(call, sentAtMs, settle)
+      if (call.type === 'list') this.#respondToList(sentAtMs, settle)
+      else this.#respondToWatch(call, sentAtMs, settle)
     })
   }
 
-  #answerList (sentAtMs: number, settle: Answer): void {
-    const live = [...this.objects.values()].filter(o => o.value !== null)
-    const listings = configurationKinds.map(kind => ({ kind, revision: this.revision, objects: live.filter(o => o.kind === kind) }))
-    this.#schedule(CALL_MS, () => settle({ type: 'listed', sentAtMs, listings }))
+  #respondToList (sentAtMs: number, settle: Respond): void {
+    const existing = [...this.objects.values()].filter(o => o.value !== null)
+    const listings = configurationKinds.map(kind => ({ kind, revision: this.revision, objects: existing.filter(o => o.kind === kind) }))
+    this.#schedule(RESPONSE_DELAY_MS, () => settle({ type: 'listed', sentAtMs, listings }))
   }
 
-  #answerWatch (call: Extract<Call, { type: 'watch' }>, sentAtMs: number, settle: Answer): void {
+  #respondToWatch (call: Extract<Call, { type: 'watch' }>, sentAtMs: number, settle: Respond): void {
     const { since, waitMs } = call
     if (since < this.revision - this.#historyLength) return settle({ type: 'serviceFailed', sentAtMs, isExpired: true })
     const finish = () => {
       if (this.isDown) return settle({ type: 'serviceFailed', sentAtMs, isExpired: false })
       const changes = [...this.objects.values()].filter(o => o.revision > since)
       const result = { revision: this.revision, changes }
-      this.#schedule(CALL_MS, () => settle({ type: 'watched', sentAtMs, since, result }))
+      this.#schedule(RESPONSE_DELAY_MS, () => settle({ type: 'watched', sentAtMs, since, result }))
     }
     if (this.revision > since) return finish()
     const waiter = { run: finish }
--- a/packages/proxy/src/configuration/object-set.ts
+++ b/packages/proxy/src/configuration/object-set.ts
@@ -1,7 +1,7 @@
 import type { StoredObject } from '@camphorpitch/wire'
 
 /** Largest page of objects in one message between VMs, in bytes of JSON. */
-export const PAGE_BYTES = 64 * 1024
+export const MAX_PAGE_BYTES = 64 * 1024
 
 /**
  * The objects that a VM knows, ordered by the store's revision.
@@ -15,7 +15,7 @@
   /** Every change up to this revision is included. */
   revision: number
   /** Deletions up to this revision may be absent from `byKey`. */
-  floor: number
+  minDeltaRevision: number
 }
 
 /** All changes of objects with a revision in `(from, to]`, the last of each; later ones may be included. */
@@ -26,7 +26,7 @@
 }
 
 export function createObjectSet (): ObjectSet {
-  return { byKey: new Map(), revision: 0, floor: 0 }
+  return { byKey: new Map(), revision: 0, minDeltaRevision: 0 }
 }
 
 /** @example formatKey({ kind: 'contract', name: 'orders' }) // 'contract/orders' */
@@ -46,29 +46,29 @@
 
 /** Merges a delta; it makes the set complete up to `to` if it follows on what the set holds. */
 export function applyDelta (set: ObjectSet, delta: Delta): StoredObject[] {
-  const news = mergeObjects(set, delta.objects)
+  const changes = mergeObjects(set, delta.objects)
   if (delta.from <= set.revision) set.revision = Math.max(set.revision, delta.to)
-  return news
+  return changes
 }
 
 /** Marks objects as deleted that a full listing as of `revision` did not hold. */
-export function dropAbsent (set: ObjectSet, seen: ReadonlySet<string>, revision: number, kind?: string): StoredObject[] {
-  const dropped: StoredObject[] = []
+export function deleteUnlistedObjects (set: ObjectSet, listedKeys: ReadonlySet<string>, revision: number, kind?: string): StoredObject[] {
+  const tombstones: StoredObject[] = []
   for (const [key, o] of set.byKey) {
-    if (o.value === null || o.revision > revision || seen.has(key)) continue
+    if (o.value === null || o.revision > revision || listedKeys.has(key)) continue
     if (kind !== undefined && o.kind !== kind) continue
     const tombstone = { ...o, version: o.version + 1, revision, value: null }
     set.byKey.set(key, tombstone)
-    dropped.push(tombstone)
+    tombstones.push(tombstone)
   }
-  return dropped
+  return tombstones
 }
 
 /** Makes the set complete up to `revision` after a full listing, which shows no deletions. */
 export function recordFullListing (set: ObjectSet, revision: number): void {
   if (revision <= set.revision) return
   set.revision = revision
-  set.floor = revision
+  set.minDeltaRevision = revision
 }
 
 /** A page of what changed after `since`, in order of revision; a VM that has nothing yet passes 0. */
@@ -76,12 +76,12 @@
   const changed = [...set.byKey.values()].filter(o => o.revision > since)
   changed.sort((a, b) => a.revision - b.revision)
   let bytes = 0
-  const count = changed.findIndex(o => {
+  const firstBeyondPage = changed.findIndex(o => {
     bytes += estimateBytes(o)
-    return bytes > PAGE_BYTES
+    return bytes > MAX_PAGE_BYTES
   })
-  if (count === -1) return { from: since, to: Math.max(since, set.revision), objects: changed, isLast: true }
-  const objects = selectWholeRevisions(changed, Math.max(count, 1))
+  if (firstBeyondPage === -1) return { from: since, to: Math.max(since, set.revision), objects: changed, isLast: true }
+  const objects = selectWholeRevisions(changed, Math.max(firstBeyondPage, 1))
   const to = objects.at(-1)?.revision ?? since
   return { from: since, to: Math.min(to, Math.max(since, set.revision)), objects, isLast: objects.length === changed.length }
 }
--- a/packages/proxy/src/configuration/object-values.ts
+++ b/packages/proxy/src/configuration/object-values.ts
@@ -40,13 +40,13 @@
   }
   const result = objectSchemas[kind].safeParse(value)
   if (!result.success) return formatIssues(result.error, `${kind}/${name}`)
-  if (readOwnName(kind, result.data) !== undefined && readOwnName(kind, result.data) !== name) return `${kind}/${name}: value is of another name`
+  if (readNameInValue(kind, result.data) !== undefined && readNameInValue(kind, result.data) !== name) return `${kind}/${name}: value is of another name`
   values[kind].set(name, { version, revision, value: result.data as never })
   return null
 }
 
 /** The name that a value gives itself. */
-function readOwnName (kind: ConfigurationKind, value: object): string | undefined {
+function readNameInValue (kind: ConfigurationKind, value: object): string | undefined {
   if ('workspace' in value) return value.workspace as string
   return kind === 'database' ? (value as Database).database : undefined
 }
--- a/packages/proxy/src/configuration/start-configuration.test.ts
+++ b/packages/proxy/src/configuration/start-configuration.test.ts
@@ -77,7 +77,7 @@
   it('follows changes and deletions, and keeps the last good version of a damaged object', async () => {
     await client.writeObject('contract', 'ash', 0, { workspace: 'ash', rate, databases: {} })
     const configuration = startVm('vm-1')
-    await configuration.waitReady()
+    await configuration.waitUntilReady()
     expect(configuration.findContract('ash')?.rate.burst).equal(10)
     platform.store.replaceObject('contract', 'ash', 1, { workspace: 'ash', rate: 'fast' })
     platform.store.replaceObject('contract', 'birch', 0, { workspace: 'ash', rate, databases: {} })
@@ -96,10 +96,10 @@
 
   it('starts from its peers while the object service is down', async () => {
     await client.writeObject('contract', 'ash', 0, { workspace: 'ash', rate, databases: {} })
-    for (const vm of ['vm-1', 'vm-2']) await startVm(vm).waitReady()
+    for (const vm of ['vm-1', 'vm-2']) await startVm(vm).waitUntilReady()
     platform.setFaults({ outage: true })
     const restarted = startVm('vm-3')
-    await restarted.waitReady()
+    await restarted.waitUntilReady()
     expect(restarted.findContract('ash')?.rate.burst).equal(10)
     expect(restarted.isCurrent()).equal(true)
   })
--- a/packages/proxy/src/configuration/start-configuration.ts
+++ b/packages/proxy/src/configuration/start-configuration.ts
@@ -6,7 +6,7 @@
 import { decideConfiguration } from './decision.ts'
 import { configurationPeerMessageSchema } from './messages.ts'
 import { configurationKinds } from './object-values.ts'
-import { createConfigurationState, TICK_MS, type ConfigurationEffect, type ConfigurationMessage, type KindListing } from './state.ts'
+import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type KindListing } from './state.ts'
 
 const SLICE = 'configuration'
 
@@ -21,7 +21,7 @@
   seed?: number
 }
 
-type Tell = (message: ConfigurationMessage) => void
+type SendToActor = (message: ConfigurationMessage) => void
 
 /**
  * Starts the configuration slice of a VM.
@@ -45,20 +45,20 @@
   const configuration = new Configuration({
     readReport: () => {
       const state = actor.readState()
-      const { set: { revision }, isReady, watchers, vm } = state
+      const { objectSet: { revision }, isReady, watchers, vm } = state
       return { revision, isReady, isWatcher: watchers.has(vm), ageMs: computeAgeMs(state, clock.readNow()) }
     },
     isCurrent: () => isCurrent(actor.readState(), clock.readNow()),
     stop
   })
 
-  function runEffect (effect: ConfigurationEffect, tell: Tell): void {
+  function runEffect (effect: ConfigurationEffect, tell: SendToActor): void {
     switch (effect.type) {
       case 'list':
-        tellListing(options, tell)
+        requestListing(options, tell)
         break
       case 'watch':
-        tellWatch(options, effect.since, effect.waitMs, abort.signal, tell)
+        requestWatch(options, effect.since, effect.waitMs, abort.signal, tell)
         break
       case 'send':
         peers.send(effect.to, SLICE, effect.body)
@@ -77,18 +77,18 @@
     actor.stop()
   }
 
-  const tellMembers = () => actor.tell({ type: 'members', members: membership.listMembers() })
+  const sendMembers = () => actor.tell({ type: 'members', members: membership.listMembers() })
   peers.subscribe(SLICE, (from, body) => {
     const message = configurationPeerMessageSchema.safeParse(body)
     if (message.success) actor.tell({ type: 'peer', from: from.vm, body: message.data })
     else logger.warn('malformed peer message', { slice: SLICE, peer: from.vm })
   })
-  membership.subscribe(tellMembers)
-  tellMembers()
+  membership.subscribe(sendMembers)
+  sendMembers()
   const timer = setInterval(() => {
     actor.tell({ type: 'tick' })
-    configuration.handleProgress()
-  }, TICK_MS)
+    configuration.resolveReadyWaiters()
+  }, TICK_INTERVAL_MS)
   actor.tell({ type: 'tick' })
   return configuration
 }
@@ -100,7 +100,7 @@
   else logger.error('invalid object, the last good version stays in force', { slice: SLICE, kind, name, version, problem })
 }
 
-async function tellListing ({ objectClient, clock, logger }: ConfigurationOptions, tell: Tell): Promise<void> {
+async function requestListing ({ objectClient, clock, logger }: ConfigurationOptions, tell: SendToActor): Promise<void> {
   const sentAtMs = clock.readNow()
   try {
     const listings = await Promise.all(configurationKinds.map(async (kind): Promise<KindListing> => ({ kind, ...await objectClient.listObjects(kind) })))
@@ -111,7 +111,7 @@
   }
 }
 
-async function tellWatch ({ objectClient, clock, logger }: ConfigurationOptions, since: number, waitMs: number, signal: AbortSignal, tell: Tell): Promise<void> {
+async function requestWatch ({ objectClient, clock, logger }: ConfigurationOptions, since: number, waitMs: number, signal: AbortSignal, tell: SendToActor): Promise<void> {
   const sentAtMs = clock.readNow()
   try {
     const result = await objectClient.watchObjects(configurationKinds, since, waitMs, signal)
--- a/packages/proxy/src/configuration/state.ts
+++ b/packages/proxy/src/configuration/state.ts
@@ -5,7 +5,7 @@
 import { MAX_WATCHERS } from './watchers.ts'
 
 /** Interval of ticks, in milliseconds. */
-export const TICK_MS = 100
+export const TICK_INTERVAL_MS = 100
 /** A VM asks one peer this often, in milliseconds. */
 export const POLL_INTERVAL_MS = 500
 /** The same for a VM without recent proof. */
@@ -15,32 +15,32 @@
 /** A poll without an answer is forgotten after this time, in milliseconds. */
 export const POLL_TIMEOUT_MS = 1_000
 /** A peer that left a poll unanswered is passed over for this time, in milliseconds. */
-export const SILENCE_MS = 2_000
+export const UNRESPONSIVE_PEER_SKIP_MS = 2_000
 /** Every so many polls go to a watcher. */
-export const WATCHER_POLL_EVERY = 8
+export const POLLS_PER_WATCHER_POLL = 8
 /** Peers to which a VM passes on news. */
 export const PUSH_FANOUT = 6
 /** Longest wait of one watch, in milliseconds; each answer proves that the watcher is current. */
 export const WATCH_WAIT_MS = 1_000
 /** Least time between the starts of two watches, in milliseconds. */
-export const WATCH_SPACING_MS = 100
+export const MIN_WATCH_INTERVAL_MS = 100
 /** Without proof for this time, in milliseconds, a VM that is no watcher tries the object service itself. */
 export const FALLBACK_AGE_MS = 2_500
 /** Calls per second with which all VMs together try the object service then. */
 export const FALLBACK_CALLS_PER_SECOND = 18
 /** A call without an answer for this time, in milliseconds, does not keep the next one back. */
-export const HEDGE_AFTER_MS = 1_500
-export const MAX_OPEN_CALLS = 4
+export const HEDGE_DELAY_MS = 1_500
+export const MAX_PENDING_CALLS = 4
 export const MIN_BACKOFF_MS = 250
 export const MAX_BACKOFF_MS = 2_000
 /** Without proof for this time, in milliseconds, a VM that sees no majority of the fleet refuses keys. */
 export const STALENESS_LIMIT_MS = 10_000
 /** A smaller fleet counts after it has lasted this long, in milliseconds. */
-export const FLEET_MEMORY_MS = 30_000
+export const FLEET_SHRINK_DELAY_MS = 30_000
 /** A VM that starts gives the object service this long, in milliseconds, before peers suffice. */
-export const PEER_START_DELAY_MS = 2_000
+export const START_FROM_PEERS_DELAY_MS = 2_000
 /** Peers whose agreement suffices in a large fleet. */
-export const MAX_CONFIRMATIONS = 8
+export const MAX_REQUIRED_CONFIRMATIONS = 8
 
 export interface KindListing {
   kind: ObjectKind
@@ -74,43 +74,43 @@
 }
 
 /** A full listing in progress, page by page from one peer. */
-export interface FullLoad {
+export interface PeerListing {
   vm: string
   cursor: number
-  seen: Set<string>
-  askedAtMs: number
+  listedKeys: Set<string>
+  pageRequestedAtMs: number
 }
 
 export interface ConfigurationState {
   vm: string
   random: () => number
-  set: ObjectSet
+  objectSet: ObjectSet
   members: readonly Member[]
   maxWatchers: number
   watchers: Set<string>
   /** Complete once, from the object service or from peers; callers may be served. */
   isReady: boolean
   /** Deletions may be missing: everything has to be listed anew. */
-  needsFull: boolean
-  load: FullLoad | null
+  needsFullListing: boolean
+  load: PeerListing | null
   /** Peers that hold nothing newer; counted until the VM is ready. */
-  confirmations: Set<string>
+  confirmingPeers: Set<string>
   startedAtMs: number | null
   /** Latest time, in this VM's milliseconds, up to which all accepted changes are surely included. */
-  provenAtMs: number
+  completeAsOfMs: number
   /** Members of the fleet while this VM was last surely current. */
   fleetSize: number
-  smallerSinceMs: number | null
-  openCalls: number
-  lastCallAtMs: number
+  fleetSmallerSinceMs: number | null
+  pendingCalls: number
+  lastCallSentAtMs: number
   /** When the latest call that was answered had been sent. */
-  answeredAtMs: number
+  lastSuccessfulCallSentAtMs: number
   nextCallAtMs: number
   failures: number
   polls: Map<number, Poll>
   /** Peers that left a poll unanswered, until when they are asked only if no other is left. */
-  silentUntilMs: Map<string, number>
-  pollCount: number
+  skippedUntilMs: Map<string, number>
+  nextPollId: number
   nextPollAtMs: number
 }
 
@@ -125,27 +125,27 @@
   return {
     vm,
     random,
-    set: createObjectSet(),
+    objectSet: createObjectSet(),
     members: [],
     maxWatchers,
     watchers: new Set(),
     isReady: false,
-    needsFull: true,
+    needsFullListing: true,
     load: null,
-    confirmations: new Set(),
+    confirmingPeers: new Set(),
     startedAtMs: null,
-    provenAtMs: -Infinity,
+    completeAsOfMs: -Infinity,
     fleetSize: 0,
-    smallerSinceMs: null,
-    openCalls: 0,
-    lastCallAtMs: 0,
-    answeredAtMs: -Infinity,
+    fleetSmallerSinceMs: null,
+    pendingCalls: 0,
+    lastCallSentAtMs: 0,
+    lastSuccessfulCallSentAtMs: -Infinity,
     nextCallAtMs: 0,
     failures: 0,
     polls: new Map(),
-    silentUntilMs: new Map(),
+    skippedUntilMs: new Map(),
     // Starts anywhere, so that answers to an earlier process of this VM match no poll.
-    pollCount: Math.floor(random() * 2 ** 40),
+    nextPollId: Math.floor(random() * 2 ** 40),
     nextPollAtMs: 0
   }
 }
