--- a/packages/proxy/src/configuration/configuration-metrics.ts
+++ b/packages/proxy/src/configuration/configuration-metrics.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationReport } from './configuration.ts'
 
 /**
- * Adds the gauges of the configuration slice; they are read when the metrics are.
+ * Registers the gauges of the configuration slice. Their values are read whenever the metrics are scraped.
  *
  * @example addConfigurationMetrics(metrics.registry, () => configuration.readReport())
  */
--- a/packages/proxy/src/configuration/configuration-view.ts
+++ b/packages/proxy/src/configuration/configuration-view.ts
@@ -1,6 +1,6 @@
 import type { Contract, Database, FleetSecret, KeyRing, LimitOwners } from '@camphorpitch/wire'
 
-/** What other slices may ask of configuration. Values only ever move to newer versions. */
+/** Read access to the configuration for other slices. A value is only ever replaced by a newer version. */
 export abstract class ConfigurationView {
   abstract findContract (workspace: string): Contract | undefined
   abstract findKeyRing (workspace: string): KeyRing | undefined
@@ -9,16 +9,17 @@
   abstract findLimitOwners (): { version: number, value: LimitOwners } | undefined
   abstract listContracts (): readonly Contract[]
   abstract listDatabases (): readonly Database[]
-  /** Store revision up to which everything is known. */
+  /** Revision of the object service up to which this VM has every change. */
   abstract readRevision (): number
   /**
-   * False when this VM may have missed a withdrawn key: it has neither recent proof from the object
-   * service, through peers or itself, nor contact with a majority of the fleet.
+   * Whether keys may be accepted. False when this VM may have missed the withdrawal of a key: neither the
+   * object service nor a peer has recently confirmed that its configuration is complete, and it has no
+   * contact with a majority of the fleet.
    */
   isCurrent (): boolean {
     return true
   }
 
-  /** Calls `listener` after each change, with kind and name of the object. */
+  /** Calls `listener` after each change, with the kind and name of the changed object. */
   abstract subscribe (listener: (kind: string, name: string) => void): void
 }
--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -10,13 +10,15 @@
 const MAX_WATCHERS = 3
 const FAULTS_END_MS = 7_000
 const MAX_FAULT_DURATION_MS = 8_000
+/** Time within which a change must be applied by every VM that has a path to the object service. */
 const MAX_PROPAGATION_MS = 6_000
+/** Time within which a change of a key ring must be applied by every VM that has a path to a watcher. */
 const MAX_WITHDRAWAL_MS = 3_000
-/** By then, all VMs that nothing cuts off have a change. */
+/** Time after which all VMs that are not cut off have a change. */
 const SETTLE_TIME_MS = 3_000
 const STEP_MS = 250
 const RUNS = 1_000
-/** Other seeds can be tried from the command line; a failure prints the one to repeat. */
+/** The environment variable sets another seed; fast-check prints the seed of a failed run. */
 const SEED = Number(process.env.CAMPHORPITCH_SEED ?? 20_261_203)
 
 const timeArbitrary = fc.integer({ min: 0, max: FAULTS_END_MS })
@@ -85,7 +87,7 @@
   }
 }
 
-/** All pairs of a VM within the group and one outside. */
+/** Lists all pairs of a VM in the group and a VM outside. */
 function listPairsAcross (group: number[]): Array<[number, number]> {
   const others = Array.from({ length: VMS }, (_, i) => i).filter(i => !group.includes(i))
   return group.flatMap(a => others.map((b): [number, number] => [a, b]))
@@ -102,7 +104,7 @@
   fleet.schedule(forMs, () => { for (const k of keys) fleet.cutLinks.delete(k) })
 }
 
-/** VMs with a path to the object service, through peers or their own; watchers alone begin one. */
+/** Finds the VMs with a path to the object service, direct or through peers; only a VM that satisfies `isSource` has a direct path. */
 function findVmsWithServicePath (fleet: FakeFleet, isSource: (vm: FakeVm) => boolean): Set<FakeVm> {
   const running = fleet.vms.filter(v => v.isUp && v.state.isReady)
   const found = new Set(running.filter(v => !fleet.service.isDown && !fleet.cutFromService.has(v.name) && isSource(v)))
@@ -112,7 +114,7 @@
   return found
 }
 
-/** Whether a VM has links to more than half of the fleet, itself included, all with each other. */
+/** Whether a VM and the VMs that it reaches are more than half of the fleet; VMs that do not reach all of the others are left out. */
 function hasMajority (fleet: FakeFleet, vm: FakeVm): boolean {
   if (!vm.isUp || !vm.state.isReady) return false
   const isLinked = (a: FakeVm, b: FakeVm) => b.isUp && b.state.isReady && !fleet.cutLinks.has(`${a.name}|${b.name}`)
@@ -121,7 +123,7 @@
   return clique.length > fleet.vms.length / 2
 }
 
-/** What a naive, obviously right reader of the store's log says was current at a time. */
+/** The stored objects as of a time, computed from the log of accepted changes. */
 function listExpectedObjects (fleet: FakeFleet, atMs: number): StoredObject[] {
   const current = new Map<string, StoredObject>()
   for (const a of fleet.service.accepted) if (a.atMs <= atMs) current.set(formatKey(a.object), a.object)
@@ -129,8 +131,8 @@
 }
 
 /**
- * Whether a VM has neither an accepted version nor a later one in force. A listing shows a deletion
- * only by absence, so holding nothing is right where a later deletion was accepted.
+ * Whether a VM has applied neither the wanted version nor a later one. A listing shows a deletion only
+ * by absence, so a VM without the object is up to date if a later deletion was accepted.
  */
 function isBehind (fleet: FakeFleet, vm: FakeVm, wanted: StoredObject): boolean {
   const stored = vm.inForce.get(formatKey(wanted))
@@ -141,17 +143,20 @@
   return !fleet.service.accepted.some(a => isDeletion(a.object))
 }
 
+/** Checks the applied objects of all VMs during a simulation and collects violations. */
 class Observer {
   readonly problems: string[] = []
+  /** When a VM last lacked a path to the object service. */
   readonly lastWithoutPathMs = new Map<string, number>()
+  /** When a VM last lacked a path to the object service through a watcher, or the service was slow. */
   readonly lastWithoutWatcherPathMs = new Map<string, number>()
-  /** Revisions put in force by the VM in any process, with time. */
+  /** Objects that a VM has applied, in any of its processes, with the time. */
   readonly published = new Map<string, Array<{ atMs: number, object: StoredObject }>>()
-  /** When a VM last lacked direct links to a majority of the fleet. */
+  /** When a VM last lacked links to a majority of the fleet. */
   readonly lastWithoutMajorityMs = new Map<string, number>()
 
   recordPublish (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined, nowMs: number): void {
-    if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} went back to ${object.revision} of ${formatKey(object)} at ${nowMs}`)
+    if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} went back to revision ${object.revision} of ${formatKey(object)} at ${nowMs}`)
     const list = this.published.get(vm.name) ?? []
     list.push({ atMs: nowMs, object })
     this.published.set(vm.name, list)
@@ -175,16 +180,16 @@
   checkVm (fleet: FakeFleet, vm: FakeVm, wanted: readonly StoredObject[], withinMs: number, sinceMs: number): void {
     if (!vm.isUp || !vm.state.isReady || fleet.nowMs - sinceMs <= withinMs) return
     for (const o of wanted) {
-      if (isBehind(fleet, vm, o)) this.problems.push(`${vm.name} lacks ${formatKey(o)} at ${o.revision} after ${withinMs} ms at ${fleet.nowMs}`)
+      if (isBehind(fleet, vm, o)) this.problems.push(`${vm.name} lacks ${formatKey(o)} at revision ${o.revision} after ${withinMs} ms at ${fleet.nowMs}`)
     }
   }
 
-  /** A restarted VM must not serve older than its earlier process did, once that had time to spread. */
+  /** A restarted VM must not serve older objects than its previous process did, if these had time to reach the other VMs. */
   checkRestart (fleet: FakeFleet, vm: FakeVm, stoppedAtMs: number, hadMajority: boolean): void {
     if (!hadMajority) return
     for (const { atMs, object } of this.published.get(vm.name) ?? []) {
       if (atMs > stoppedAtMs - SETTLE_TIME_MS) continue
-      if (isBehind(fleet, vm, object)) this.problems.push(`${vm.name} restarted with less than ${object.revision} of ${formatKey(object)}`)
+      if (isBehind(fleet, vm, object)) this.problems.push(`${vm.name} restarted with an older revision than ${object.revision} of ${formatKey(object)}`)
     }
   }
 }
@@ -223,7 +228,7 @@
   return observer.problems
 }
 
-/** Puts in force whatever comes last, and tells everybody. */
+/** Applies whatever arrives last and sends it to all members, without comparing revisions. */
 const decideNaively: DecideConfiguration = (state, message) => {
   state.isReady = true
   if (message.type === 'members') state.members = message.members
@@ -242,18 +247,18 @@
 }
 
 describe('configuration', () => {
-  it('never goes back and is in force in time, over seeded faults', () => {
+  it('never reverts to an older revision and applies changes in time, under random faults', () => {
     fc.assert(fc.property(scenarioArbitrary, scenario => {
       expect(runScenario(scenario).slice(0, 3).join('; ')).equal('')
     }), { numRuns: RUNS, seed: SEED })
   })
 
-  it('the same check fails for a naive version', () => {
+  it('the same simulation finds violations in a naive implementation', () => {
     const result = fc.check(fc.property(scenarioArbitrary, scenario => runScenario(scenario, decideNaively).length === 0), { numRuns: RUNS, seed: SEED, endOnFailure: true })
     expect(result.failed).equal(true)
   })
 
-  it('refuses keys when cut off from service and fleet, but not in an outage of the service alone', () => {
+  it('refuses keys on a VM that is cut off from the service and the fleet, but not in an outage of the service alone', () => {
     const fleet = new FakeFleet({ vms: 9 })
     fleet.runFor(5_000)
     const region = fleet.vms.slice(0, 3)
@@ -276,7 +281,7 @@
     expect(fleet.vms.map(v => isCurrent(v.state, fleet.nowMs))).not.include(false)
   })
 
-  it('does not take an old configuration from one lagging peer after a restart without the service', () => {
+  it('does not become ready from one lagging peer after a restart without the service', () => {
     const fleet = new FakeFleet({ vms: 9 })
     fleet.runFor(3_000)
     const [restarted, lagging, ...others] = fleet.vms as [FakeVm, FakeVm, ...FakeVm[]]
@@ -299,7 +304,7 @@
     expect(restarted.inForce.get('key-ring/ash')?.revision).equal(1)
   })
 
-  it('learns of a deletion from a peer that has only listed since', () => {
+  it('learns of a deletion from a peer that has only listed the objects since', () => {
     const fleet = new FakeFleet({ vms: 3 })
     const [restarted, other, lagging] = fleet.vms as [FakeVm, FakeVm, FakeVm]
     fleet.service.writeObject('key-ring', 'ash', { keys: [] }, 0)
@@ -318,7 +323,7 @@
     expect(lagging.inForce.get('key-ring/ash')?.value).equal(null)
   })
 
-  it('does not revive a deleted object by a message that was sent before the deletion', () => {
+  it('does not restore a deleted object from a message that was sent before the deletion', () => {
     const set = createObjectSet()
     recordFullListing(set, 10)
     const late = { kind: 'contract', name: 'ash', version: 1, revision: 5, value: {} }
--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -2,17 +2,18 @@
 import { ConfigurationView } from './configuration-view.ts'
 import { applyValue, createObjectValues } from './object-values.ts'
 
-/** For metrics and status. */
+/** State of the configuration, for metrics and status. */
 export interface ConfigurationReport {
   revision: number
   isReady: boolean
   isWatcher: boolean
-  /** Milliseconds since this VM surely had all that was accepted. */
+  /** Milliseconds since the last time at which this VM is known to have had every accepted change; `Infinity` if there was none. */
   ageMs: number
-  /** Objects whose stored value is invalid, so that an older one is in force. */
+  /** Keys (`kind/name`) of objects whose stored value is invalid, so that an older valid value, if any, stays in effect. */
   invalidObjects: readonly string[]
 }
 
+/** What `Configuration` needs from the actor that keeps it up to date. */
 export interface ConfigurationHost {
   readReport: () => Omit<ConfigurationReport, 'invalidObjects'>
   isCurrent: () => boolean
@@ -32,7 +33,11 @@
     this.#host = host
   }
 
-  /** Puts an object in force; answers what is wrong with an invalid one, `null` otherwise. */
+  /**
+   * Applies an object's value, or removes it when the object was deleted, and notifies the subscribers.
+   *
+   * @returns why the value is invalid and was not applied; `null` if it was applied
+   */
   applyObject (object: StoredObject): string | null {
     const key = `${object.kind}/${object.name}`
     const problem = applyValue(this.#values, object)
@@ -81,18 +86,18 @@
     return this.#host.isCurrent()
   }
 
-  /** False until the whole configuration is known; callers are not to be served before. */
+  /** False until this VM has a complete configuration; clients must not be served before. */
   isReady (): boolean {
     return this.#host.readReport().isReady
   }
 
-  /** Resolves once ready. */
+  /** Resolves once `isReady` is true. */
   async waitUntilReady (): Promise<void> {
     if (this.isReady()) return
     await new Promise<void>(resolve => { this.#readyResolvers.push(resolve) })
   }
 
-  /** Called by the host after each message. */
+  /** Resolves pending `waitUntilReady` calls once ready; the host calls it on each tick. */
   resolveReadyWaiters (): void {
     if (this.#readyResolvers.length === 0 || !this.isReady()) return
     for (const resolve of this.#readyResolvers.splice(0)) resolve()
--- a/packages/proxy/src/configuration/decision.ts
+++ b/packages/proxy/src/configuration/decision.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationEffect, ConfigurationMessage, ConfigurationState } from './state.ts'
 import { selectWatchers } from './watchers.ts'
 
-/** Decides who watches the object service, and how changes reach every VM and never go back. */
+/** Decides which VMs watch the object service and how changes spread to every VM. An applied revision is never replaced by an older one. */
 export const decideConfiguration: Decide<ConfigurationState, ConfigurationMessage, ConfigurationEffect> = applyMessage
 
 function applyMessage (state: ConfigurationState, message: ConfigurationMessage, nowMs: number): Step<ConfigurationState, ConfigurationEffect> {
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -5,7 +5,7 @@
 import { formatKey } from './object-set.ts'
 import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
 
-/** Longest delay of a message between VMs, in milliseconds; each message draws its own, so they cross. */
+/** Maximum delay of a message between VMs, in milliseconds. Each message has a random delay, so messages may overtake each other. */
 const MAX_MESSAGE_DELAY_MS = 40
 
 export type DecideConfiguration = Decide<ConfigurationState, ConfigurationMessage, ConfigurationEffect>
@@ -16,7 +16,7 @@
   isUp: boolean
   incarnation: number
   state: ConfigurationState
-  /** The objects put in force by the current process, by key. */
+  /** The objects that the VM's current process has applied, by key. */
   inForce: Map<string, StoredObject>
 }
 
@@ -32,14 +32,14 @@
   handleSend?: (from: FakeVm, to: string, body: unknown) => void
 }
 
-/** Decisions of a whole fleet in one process, on a virtual clock, with faulty links. */
+/** Runs the configuration decisions of a whole fleet in one process, on a virtual clock, with simulated link faults. */
 export class FakeFleet {
   readonly vms: FakeVm[] = []
   readonly service: FakeObjectService
   nowMs = 0
   lossRate = 0
   duplicateRate = 0
-  /** Pairs `a|b` of VMs that cannot reach each other, in both orders. */
+  /** Pairs `a|b` of VMs that cannot reach each other; each pair is in the set in both orders. */
   readonly cutLinks = new Set<string>()
   /** VMs that cannot reach the object service. */
   readonly cutFromService = new Set<string>()
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Starts a VM's process with empty memory. */
+  /** Starts a VM's process anew, without the state of its previous process. */
   startVm (vm: FakeVm): void {
     vm.isUp = true
     vm.incarnation += 1
@@ -96,7 +96,7 @@
     this.cutLinks.add(`${a}|${b}`).add(`${b}|${a}`)
   }
 
-  /** Tells all running VMs of their members; by default all. */
+  /** Sets the members that a VM sees. */
   setMembers (vm: FakeVm, members: readonly Member[]): void {
     this.#deliver(vm, { type: 'members', members })
   }
--- a/packages/proxy/src/configuration/fake-object-service.ts
+++ b/packages/proxy/src/configuration/fake-object-service.ts
@@ -3,8 +3,9 @@
 import { configurationKinds } from './object-values.ts'
 import type { ConfigurationEffect, ConfigurationMessage } from './state.ts'
 
-/** Time after which a call without an answer fails, in milliseconds, besides what a watch waits. */
+/** Timeout of a call, in milliseconds, in addition to the wait time of a watch. */
 const CALL_TIMEOUT_MS = 5_000
+/** Simulated delay of a request and of a response. */
 const RESPONSE_DELAY_MS = 2
 
 type Schedule = (delayMs: number, run: () => void) => void
@@ -15,14 +16,14 @@
   run: () => void
 }
 
-/** The object service on a virtual clock: conditional writes, lists, watches with a bounded log. */
+/** Simulates the object service on a virtual clock: writes, listings, and watches over a history of bounded length. */
 export class FakeObjectService {
   isDown = false
   slowMs = 0
   calls = 0
   revision = 0
   readonly objects = new Map<string, StoredObject>()
-  /** Every accepted change, in order, with its time. */
+  /** Every accepted change with its time, in order of revision. */
   readonly accepted: Array<{ atMs: number, object: StoredObject }> = []
   readonly #historyLength: number
   readonly #schedule: Schedule
@@ -33,7 +34,11 @@
     this.#schedule = schedule
   }
 
-  /** Stores a value, `null` to delete; false during an outage. */
+  /**
+   * Stores a value; `null` deletes the object.
+   *
+   * @returns false if the write was refused because of an outage
+   */
   writeObject (kind: string, name: string, value: unknown, nowMs: number): boolean {
     if (this.isDown) return false
     this.revision += 1
@@ -45,6 +50,7 @@
     return true
   }
 
+  /** Simulates a call; `isCut` makes it time out, as the calling VM cannot reach the service. */
   request (call: Call, sentAtMs: number, isCut: boolean, respond: Respond): void {
     this.calls += call.type === 'list' ? configurationKinds.length : 1
     let isSettled = false
--- a/packages/proxy/src/configuration/gossip.ts
+++ b/packages/proxy/src/configuration/gossip.ts
@@ -7,14 +7,18 @@
   type ConfigurationEffect, type ConfigurationState, type Poll
 } from './state.ts'
 
-/** Asks a random peer when it is time, every so often a watcher; a VM that is not ready asks more often. */
+/**
+ * Polls a random peer when the poll interval is over; one poll in `POLLS_PER_WATCHER_POLL` goes to a watcher.
+ *
+ * VMs that are not ready or whose configuration is stale poll more often.
+ */
 export function decidePoll (state: ConfigurationState, nowMs: number): ConfigurationEffect[] {
   removeExpiredPolls(state, nowMs)
   if (nowMs < state.nextPollAtMs) return []
   if (isListingFromPeer(state, nowMs)) return []
   state.nextPollAtMs = nowMs + computePollInterval(state, nowMs)
   const vms = new Set([pickPollTarget(state, nowMs)])
-  // With losses or few open links, the only peer that has news may be among those held for silent.
+  // With message loss or few working links, the only peer that has newer objects may be one that is skipped as unresponsive.
   if (isStale(state, nowMs) && !state.needsFullListing) vms.add(pickPeers(state, 1)[0])
   return [...vms].flatMap(vm => vm === undefined ? [] : [sendPoll(state, vm, nowMs)])
 }
@@ -28,7 +32,7 @@
   return isStale(state, nowMs) ? STALE_POLL_INTERVAL_MS : POLL_INTERVAL_MS
 }
 
-/** Whether a full listing gets on; one whose next page is late is begun again with another peer. */
+/** Whether a full listing from a peer is in progress. Abandons one whose next page is late, so that another peer is tried. */
 function isListingFromPeer (state: ConfigurationState, nowMs: number): boolean {
   const { load } = state
   if (!state.needsFullListing || load === null) return false
@@ -38,7 +42,7 @@
   return false
 }
 
-/** Picks a random peer, every so often a watcher, that is not known to be silent; else any. */
+/** Picks a random peer, or a watcher if its turn has come, that is not skipped as unresponsive; any peer if there is none. */
 function pickPollTarget (state: ConfigurationState, nowMs: number): string | undefined {
   const restrictedTo = state.nextPollId % POLLS_PER_WATCHER_POLL === 0 ? state.watchers : undefined
   const responsive = state.members.filter(m => (state.skippedUntilMs.get(m.vm) ?? 0) <= nowMs).map(m => m.vm)
@@ -47,7 +51,7 @@
   return vm ?? pickPeers(state, 1)[0]
 }
 
-/** Picks distinct random members other than this VM, from all or from `among`. */
+/** Picks distinct random members other than this VM, from `eligible` or, without it, from all. */
 function pickPeers (state: ConfigurationState, count: number, eligible?: ReadonlySet<string>): string[] {
   const peers = state.members.filter(m => m.vm !== state.vm && (eligible === undefined || eligible.has(m.vm)))
   const picked: string[] = []
@@ -77,7 +81,7 @@
   }
 }
 
-/** Handles a message of a peer. Answers to polls that are not open any more are ignored. */
+/** Handles a message from a peer. Responses to polls that are no longer pending are ignored. */
 export function handlePeerMessage (state: ConfigurationState, from: string, body: ConfigurationPeerMessage, nowMs: number): ConfigurationEffect[] {
   state.skippedUntilMs.delete(from)
   if (body.type === 'poll') return [...handlePoll(state, from, body, nowMs), ...pollNewerPeer(state, from, body.since, nowMs)]
@@ -86,17 +90,17 @@
   if (poll?.vm !== from) return []
   state.polls.delete(body.id)
   if (body.type === 'reply') return body.from === poll.since ? handleReply(state, poll, body, nowMs) : []
-  // With recent proof, other sources bring what this peer cannot.
+  // If the configuration was recently confirmed, other peers or the object service can still send deltas.
   if (!isStale(state, nowMs)) return []
   state.needsFullListing = true
   state.nextPollAtMs = nowMs
   return [
-    { type: 'log', message: 'revision too old for a peer, listing anew', fields: { revision: state.objectSet.revision, peer: from } },
+    { type: 'log', message: 'revision too old for a delta from peer, requesting a full listing', fields: { revision: state.objectSet.revision, peer: from } },
     ...decidePoll(state, nowMs)
   ]
 }
 
-/** A peer that asks with a later revision has news for a VM without recent proof. */
+/** Polls the sender of a poll if it has a later revision and the configuration of this VM is stale. */
 function pollNewerPeer (state: ConfigurationState, vm: string, since: number, nowMs: number): ConfigurationEffect[] {
   if (!state.isReady || state.needsFullListing || since <= state.objectSet.revision || !isStale(state, nowMs)) return []
   return isPolling(state, vm) ? [] : [sendPoll(state, vm, nowMs)]
@@ -127,7 +131,12 @@
   return effects
 }
 
-/** The peer's age counts from the sending of the poll, which is never later than its answer. */
+/**
+ * Records that a peer has nothing newer than this VM, and how recent the peer's configuration is.
+ *
+ * The peer's age is subtracted from the time at which the poll was sent. As the peer computed it later than
+ * that, the result is never too recent.
+ */
 function recordConfirmation (state: ConfigurationState, poll: Poll, reply: ReplyMessage): void {
   if (state.objectSet.revision < reply.to || state.needsFullListing) return
   state.confirmingPeers.add(poll.vm)
@@ -149,12 +158,20 @@
   return forwardListedChanges(state, reply.to, changes)
 }
 
-/** Passes on what a full listing brought; it is no delta, since it shows no deletions of unknown objects. */
+/**
+ * Applies and forwards objects found by a full listing.
+ *
+ * A listing does not show deletions of objects that this VM never had, so it is forwarded as an empty
+ * revision range, which does not make the receiver complete up to `revision`.
+ */
 export function forwardListedChanges (state: ConfigurationState, revision: number, changes: StoredObject[]): ConfigurationEffect[] {
   return state.isReady ? forwardChanges(state, { from: revision, to: revision, objects: changes }, changes) : publishChanges(changes)
 }
 
-/** Peers suffice for a start once the object service had its time and enough of them hold nothing newer. */
+/**
+ * Makes the VM ready with the configuration of its peers, without the object service, once the service has
+ * had `START_FROM_PEERS_DELAY_MS` to respond and enough peers have confirmed that they have nothing newer.
+ */
 export function decideStartFromPeers (state: ConfigurationState, nowMs: number): ConfigurationEffect[] {
   state.startedAtMs ??= nowMs
   if (state.isReady || state.needsFullListing || nowMs - state.startedAtMs < START_FROM_PEERS_DELAY_MS) return []
@@ -162,7 +179,7 @@
   const requiredConfirmations = Math.min(MAX_REQUIRED_CONFIRMATIONS, Math.max(1, Math.floor(fleetSize / 2)))
   if (state.confirmingPeers.size < requiredConfirmations) return []
   state.isReady = true
-  return [{ type: 'log', message: 'configuration taken from peers', fields: { revision: state.objectSet.revision, peers: [...state.confirmingPeers] } }]
+  return [{ type: 'log', message: 'configuration complete from peers', fields: { revision: state.objectSet.revision, peers: [...state.confirmingPeers] } }]
 }
 
 function handlePush (state: ConfigurationState, from: string, push: Delta, nowMs: number): ConfigurationEffect[] {
@@ -173,7 +190,11 @@
   return effects
 }
 
-/** Puts news in force and passes the delta on to random peers; one that is too large is only announced. */
+/**
+ * Applies changes and forwards their delta to random peers.
+ *
+ * For a delta larger than a page, only its revision is announced; the receivers poll for the objects.
+ */
 export function forwardChanges (state: ConfigurationState, delta: Delta, changes: StoredObject[]): ConfigurationEffect[] {
   if (changes.length === 0) return []
   const bytes = delta.objects.reduce((sum, o) => sum + estimateBytes(o), 0)
--- a/packages/proxy/src/configuration/messages.ts
+++ b/packages/proxy/src/configuration/messages.ts
@@ -4,9 +4,9 @@
 const revisionSchema = z.number().int().nonnegative()
 const deltaFields = { from: revisionSchema, to: revisionSchema, objects: z.array(storedObjectSchema) }
 
-/** Messages of the `configuration` slice between VMs. */
+/** Messages between VMs of the `configuration` slice. */
 export const configurationPeerMessageSchema = z.discriminatedUnion('type', [
-  /** Asks for what changed after `since`; `isFull` also where deletions before it are unknown to the asker. */
+  /** Requests the changes after `since`. With `isFull`, the page is part of a full listing: the requester may lack deletions before `since`. */
   z.object({ type: z.literal('poll'), id: revisionSchema, since: revisionSchema, isFull: z.boolean() }),
   z.object({
     type: z.literal('reply'),
@@ -14,13 +14,13 @@
     ...deltaFields,
     /** False when more pages follow after `to`. */
     isLast: z.boolean(),
-    /** Milliseconds since the object service last proved the sender current; `null` for never. */
+    /** Milliseconds since the last time at which the sender is known to have had every accepted change; `null` if there was none. */
     ageMs: z.number().nonnegative().nullable(),
     fleetSize: revisionSchema
   }),
-  /** The asker's revision is too old for a delta: it has to ask for everything. */
+  /** The requester's revision is too old for a delta; it needs a full listing. */
   z.object({ type: z.literal('expired'), id: revisionSchema }),
-  /** News, sent on by each VM that it is new to. Without objects it only says how far the sender is. */
+  /** Changes, forwarded by each VM that did not have them yet. Without objects, it announces the sender's revision. */
   z.object({ type: z.literal('push'), ...deltaFields })
 ])
 export type ConfigurationPeerMessage = z.infer<typeof configurationPeerMessageSchema>
--- a/packages/proxy/src/configuration/object-set.ts
+++ b/packages/proxy/src/configuration/object-set.ts
@@ -1,24 +1,24 @@
 import type { StoredObject } from '@camphorpitch/wire'
 
-/** Largest page of objects in one message between VMs, in bytes of JSON. */
+/** Maximum size of a page of objects in a message between VMs, in estimated bytes of JSON. */
 export const MAX_PAGE_BYTES = 64 * 1024
 
 /**
  * The objects that a VM knows, ordered by the store's revision.
  *
- * Merging is idempotent and commutative: of two versions of an object the one of the higher revision
- * stays, whatever the order of arrival.
+ * Merging is idempotent and commutative: of two versions of an object the one with the higher revision
+ * is kept, in whichever order they arrive.
  */
 export interface ObjectSet {
-  /** By `kind/name`; a deleted object stays with value `null`, as its version. */
+  /** Objects by `kind/name`. A deleted object is kept as a tombstone with value `null`. */
   byKey: Map<string, StoredObject>
   /** Every change up to this revision is included. */
   revision: number
-  /** Deletions up to this revision may be absent from `byKey`. */
+  /** Oldest revision from which a delta can be sent: `byKey` may lack deletions up to here, since the last full listing did not show them. */
   minDeltaRevision: number
 }
 
-/** All changes of objects with a revision in `(from, to]`, the last of each; later ones may be included. */
+/** The latest change of each object that changed after `from`, up to and including `to`. Later changes may be included. */
 export interface Delta {
   from: number
   to: number
@@ -34,7 +34,7 @@
   return `${object.kind}/${object.name}`
 }
 
-/** Merges objects, and answers those that were news. */
+/** Merges objects into the set and returns those that were newer than what it had. */
 export function mergeObjects (set: ObjectSet, objects: readonly StoredObject[]): StoredObject[] {
   return objects.filter(o => {
     const known = set.byKey.get(formatKey(o))
@@ -44,14 +44,19 @@
   })
 }
 
-/** Merges a delta; it makes the set complete up to `to` if it follows on what the set holds. */
+/** Merges a delta and returns the objects that were newer. The set is complete up to `to` if the delta begins at or before its revision. */
 export function applyDelta (set: ObjectSet, delta: Delta): StoredObject[] {
   const changes = mergeObjects(set, delta.objects)
   if (delta.from <= set.revision) set.revision = Math.max(set.revision, delta.to)
   return changes
 }
 
-/** Marks objects as deleted that a full listing as of `revision` did not hold. */
+/**
+ * Marks the objects as deleted that a full listing as of `revision` does not contain.
+ *
+ * @param kind limits this to the objects of one kind
+ * @returns the tombstones
+ */
 export function deleteUnlistedObjects (set: ObjectSet, listedKeys: ReadonlySet<string>, revision: number, kind?: string): StoredObject[] {
   const tombstones: StoredObject[] = []
   for (const [key, o] of set.byKey) {
@@ -64,14 +69,14 @@
   return tombstones
 }
 
-/** Makes the set complete up to `revision` after a full listing, which shows no deletions. */
+/** Marks the set as complete up to `revision` after a full listing. As a listing does not show deletions, no delta from an older revision can be sent any more. */
 export function recordFullListing (set: ObjectSet, revision: number): void {
   if (revision <= set.revision) return
   set.revision = revision
   set.minDeltaRevision = revision
 }
 
-/** A page of what changed after `since`, in order of revision; a VM that has nothing yet passes 0. */
+/** Selects a page of the changes after `since`, in order of revision; 0 selects from the beginning. */
 export function selectPage (set: ObjectSet, since: number): Delta & { isLast: boolean } {
   const changed = [...set.byKey.values()].filter(o => o.revision > since)
   changed.sort((a, b) => a.revision - b.revision)
@@ -86,13 +91,14 @@
   return { from: since, to: Math.min(to, Math.max(since, set.revision)), objects, isLast: objects.length === changed.length }
 }
 
-/** Objects that share a revision, as after a listing, stay on one page. */
+/** Extends a page so that objects with the same revision are not split; a listing gives its tombstones the same revision. */
 function selectWholeRevisions (sorted: StoredObject[], count: number): StoredObject[] {
   let end = count
   while (end < sorted.length && sorted[end]?.revision === sorted[end - 1]?.revision) end += 1
   return sorted.slice(0, end)
 }
 
+/** Estimates an object's size in a message, in bytes of JSON. */
 export function estimateBytes (object: StoredObject): number {
   return JSON.stringify(object.value).length + object.name.length
 }
--- a/packages/proxy/src/configuration/object-values.ts
+++ b/packages/proxy/src/configuration/object-values.ts
@@ -14,7 +14,7 @@
   'limit-owners': Map<string, VersionedValue<LimitOwners>>
 }
 
-/** Kinds that every VM holds. */
+/** Kinds of objects that every VM keeps. */
 export const configurationKinds = ['contract', 'key-ring', 'database', 'fleet-secret', 'limit-owners'] as const satisfies readonly ObjectKind[]
 export type ConfigurationKind = typeof configurationKinds[number]
 
@@ -27,9 +27,9 @@
 }
 
 /**
- * Puts an object's value in force, or removes it.
+ * Applies an object's value, or removes it when the object was deleted.
  *
- * @returns what is wrong with the value, which then leaves the last good one in force; `null` for nothing
+ * @returns why the value is invalid, in which case the last valid one stays in effect; `null` if it was applied
  */
 export function applyValue (values: ObjectValues, object: StoredObject): string | null {
   const { kind, name, version, revision, value } = object
@@ -40,12 +40,12 @@
   }
   const result = objectSchemas[kind].safeParse(value)
   if (!result.success) return formatIssues(result.error, `${kind}/${name}`)
-  if (readNameInValue(kind, result.data) !== undefined && readNameInValue(kind, result.data) !== name) return `${kind}/${name}: value is of another name`
+  if (readNameInValue(kind, result.data) !== undefined && readNameInValue(kind, result.data) !== name) return `${kind}/${name}: the value names another object`
   values[kind].set(name, { version, revision, value: result.data as never })
   return null
 }
 
-/** The name that a value gives itself. */
+/** The object name that is contained in a value; `undefined` for kinds whose values contain none. */
 function readNameInValue (kind: ConfigurationKind, value: object): string | undefined {
   if ('workspace' in value) return value.workspace as string
   return kind === 'database' ? (value as Database).database : undefined
--- a/packages/proxy/src/configuration/service-calls.ts
+++ b/packages/proxy/src/configuration/service-calls.ts
@@ -11,7 +11,7 @@
 type ServiceFailedMessage = Extract<ConfigurationMessage, { type: 'serviceFailed' }>
 type WatchedMessage = Extract<ConfigurationMessage, { type: 'watched' }>
 
-/** Begins the next call to the object service where one is due. */
+/** Starts the next call to the object service if one is due. */
 export function decideServiceCall (state: ConfigurationState, nowMs: number): ConfigurationEffect[] {
   if (!isCallDue(state, nowMs) || !isCallNeeded(state, nowMs)) return []
   state.pendingCalls += 1
@@ -20,12 +20,13 @@
   return [{ type: 'watch', since: state.objectSet.revision, waitMs: WATCH_WAIT_MS }]
 }
 
-/** A call that hangs or is slow does not keep the next one back for long. */
+/** Whether the backoff is over and no call is pending, or the last one has taken so long that a further one is sent beside it (a hedged request). */
 function isCallDue (state: ConfigurationState, nowMs: number): boolean {
   if (nowMs < state.nextCallAtMs || state.pendingCalls >= MAX_PENDING_CALLS) return false
   return state.pendingCalls === 0 || nowMs - state.lastCallSentAtMs >= HEDGE_DELAY_MS
 }
 
+/** Watchers and VMs that need a full listing always call; other VMs call only while stale, at a rate limited over the whole fleet. */
 function isCallNeeded (state: ConfigurationState, nowMs: number): boolean {
   if (state.needsFullListing || state.watchers.has(state.vm)) return true
   if (computeAgeMs(state, nowMs) <= FALLBACK_AGE_MS) return false
@@ -41,7 +42,7 @@
   state.needsFullListing = false
   state.load = null
   const effects = forwardListedChanges(state, revision, changes)
-  if (!state.isReady) effects.push({ type: 'log', message: 'configuration listed', fields: { revision, objects: changes.length } })
+  if (!state.isReady) effects.push({ type: 'log', message: 'configuration complete from object service', fields: { revision, objects: changes.length } })
   state.isReady = true
   return effects
 }
@@ -64,7 +65,7 @@
   recordCallEnd(state, sentAtMs)
   if (isExpired) {
     state.needsFullListing = true
-    return [{ type: 'log', message: 'watch too old, listing anew', fields: { revision: state.objectSet.revision } }, ...decideServiceCall(state, nowMs)]
+    return [{ type: 'log', message: 'watch revision expired, requesting a full listing', fields: { revision: state.objectSet.revision } }, ...decideServiceCall(state, nowMs)]
   }
   if (sentAtMs < state.lastSuccessfulCallSentAtMs) return []
   const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** state.failures)
@@ -81,7 +82,7 @@
   state.completeAsOfMs = Math.max(state.completeAsOfMs, sentAtMs)
 }
 
-/** Once the latest call has ended, earlier ones that hang keep nothing back. */
+/** Records the end of a call. After the end of the latest call, earlier calls that hang no longer delay the next one. */
 function recordCallEnd (state: ConfigurationState, sentAtMs: number): void {
   state.pendingCalls -= 1
   if (sentAtMs >= state.lastCallSentAtMs) state.lastCallSentAtMs = -Infinity
--- a/packages/proxy/src/configuration/start-configuration.test.ts
+++ b/packages/proxy/src/configuration/start-configuration.test.ts
@@ -11,7 +11,7 @@
 const names = ['vm-1', 'vm-2', 'vm-3']
 const rate = { statementsPerSecond: 10, burst: 10 }
 
-/** Links between VMs of one process. */
+/** Delivers messages between VMs that run in this process. */
 class FakePeers extends PeerNetwork {
   readonly self: Hello
   readonly #handlers: Map<string, PeerHandler>
@@ -44,7 +44,7 @@
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 10))
 }
 
-describe('configuration against the object service', () => {
+describe('startConfiguration with an object service', () => {
   let platform: RunningPlatform
   let client: ObjectClient
   let systems: ActorSystemRef[]
@@ -74,7 +74,7 @@
     await platform.close()
   })
 
-  it('follows changes and deletions, and keeps the last good version of a damaged object', async () => {
+  it('follows changes and deletions, and keeps the last valid version of an object that becomes invalid', async () => {
     await client.writeObject('contract', 'ash', 0, { workspace: 'ash', rate, databases: {} })
     const configuration = startVm('vm-1')
     await configuration.waitUntilReady()
@@ -94,7 +94,7 @@
     expect(configuration.readReport().invalidObjects).deep.equal(['contract/birch'])
   })
 
-  it('starts from its peers while the object service is down', async () => {
+  it('becomes ready from the configuration of its peers while the object service is down', async () => {
     await client.writeObject('contract', 'ash', 0, { workspace: 'ash', rate, databases: {} })
     for (const vm of ['vm-1', 'vm-2']) await startVm(vm).waitUntilReady()
     platform.setFaults({ outage: true })
--- a/packages/proxy/src/configuration/start-configuration.ts
+++ b/packages/proxy/src/configuration/start-configuration.ts
@@ -17,7 +17,7 @@
   objectClient: ObjectClient
   peers: PeerNetwork
   membership: MembershipView
-  /** Seed of the choice of peers; by default from this process's incarnation. */
+  /** Seed for the random choice of peers; by default this process's incarnation. */
   seed?: number
 }
 
@@ -28,7 +28,7 @@
  *
  * @example
  * const configuration = startConfiguration({ system, clock, logger, objectClient, peers, membership })
- * await configuration.waitReady()
+ * await configuration.waitUntilReady()
  */
 export function startConfiguration (options: ConfigurationOptions): Configuration {
   const { system, clock, logger, peers, membership, seed = peers.self.incarnation } = options
@@ -96,8 +96,8 @@
 function publishObject (configuration: Configuration, object: StoredObject, logger: Logger): void {
   const { kind, name, version, revision } = object
   const problem = configuration.applyObject(object)
-  if (problem === null) logger.info('configuration in force', { slice: SLICE, kind, name, version, revision, deleted: object.value === null })
-  else logger.error('invalid object, the last good version stays in force', { slice: SLICE, kind, name, version, problem })
+  if (problem === null) logger.info('configuration object applied', { slice: SLICE, kind, name, version, revision, deleted: object.value === null })
+  else logger.error('invalid configuration object ignored, last valid version stays in effect', { slice: SLICE, kind, name, version, problem })
 }
 
 async function requestListing ({ objectClient, clock, logger }: ConfigurationOptions, tell: SendToActor): Promise<void> {
@@ -106,7 +106,7 @@
     const listings = await Promise.all(configurationKinds.map(async (kind): Promise<KindListing> => ({ kind, ...await objectClient.listObjects(kind) })))
     tell({ type: 'listed', sentAtMs, listings })
   } catch (error) {
-    logger.warn('object service gave no list', { slice: SLICE, error: String(error) })
+    logger.warn('listing configuration objects failed', { slice: SLICE, error: String(error) })
     tell({ type: 'serviceFailed', sentAtMs, isExpired: false })
   }
 }
@@ -118,7 +118,7 @@
     tell({ type: 'watched', sentAtMs, since, result })
   } catch (error) {
     if (signal.aborted) return
-    logger.warn('watch failed', { slice: SLICE, error: String(error) })
+    logger.warn('watching configuration objects failed', { slice: SLICE, error: String(error) })
     tell({ type: 'serviceFailed', sentAtMs, isExpired: error instanceof ExpiredRevisionError })
   }
 }
--- a/packages/proxy/src/configuration/state.ts
+++ b/packages/proxy/src/configuration/state.ts
@@ -6,40 +6,40 @@
 
 /** Interval of ticks, in milliseconds. */
 export const TICK_INTERVAL_MS = 100
-/** A VM asks one peer this often, in milliseconds. */
+/** Interval of a VM's polls, in milliseconds. */
 export const POLL_INTERVAL_MS = 500
-/** The same for a VM without recent proof. */
+/** Interval of polls while a VM's configuration is stale (older than `FALLBACK_AGE_MS`), in milliseconds. */
 export const STALE_POLL_INTERVAL_MS = 200
-/** The next page of a full listing is late after this time, in milliseconds. */
+/** Time after which a full listing is abandoned if its next page has not arrived, in milliseconds. */
 export const PAGE_TIMEOUT_MS = 400
-/** A poll without an answer is forgotten after this time, in milliseconds. */
+/** Timeout of a poll, in milliseconds. */
 export const POLL_TIMEOUT_MS = 1_000
-/** A peer that left a poll unanswered is passed over for this time, in milliseconds. */
+/** Time for which a peer that did not respond to a poll is skipped, in milliseconds. */
 export const UNRESPONSIVE_PEER_SKIP_MS = 2_000
-/** Every so many polls go to a watcher. */
+/** One poll in this many goes to a watcher. */
 export const POLLS_PER_WATCHER_POLL = 8
-/** Peers to which a VM passes on news. */
+/** Number of peers to which a VM forwards a change. */
 export const PUSH_FANOUT = 6
-/** Longest wait of one watch, in milliseconds; each answer proves that the watcher is current. */
+/** Maximum wait of one watch, in milliseconds; each response confirms that the watcher's configuration is complete. */
 export const WATCH_WAIT_MS = 1_000
-/** Least time between the starts of two watches, in milliseconds. */
+/** Minimum time between the starts of two watches, in milliseconds. */
 export const MIN_WATCH_INTERVAL_MS = 100
-/** Without proof for this time, in milliseconds, a VM that is no watcher tries the object service itself. */
+/** Age of the configuration, in milliseconds, after which it is stale: a VM that is not a watcher calls the object service too. */
 export const FALLBACK_AGE_MS = 2_500
-/** Calls per second with which all VMs together try the object service then. */
+/** Expected rate of these fallback calls over all VMs together. */
 export const FALLBACK_CALLS_PER_SECOND = 18
-/** A call without an answer for this time, in milliseconds, does not keep the next one back. */
+/** Time after which a further call may be sent beside a pending one, in milliseconds. */
 export const HEDGE_DELAY_MS = 1_500
 export const MAX_PENDING_CALLS = 4
 export const MIN_BACKOFF_MS = 250
 export const MAX_BACKOFF_MS = 2_000
-/** Without proof for this time, in milliseconds, a VM that sees no majority of the fleet refuses keys. */
+/** Age of the configuration, in milliseconds, after which a VM that sees no majority of the fleet refuses keys. */
 export const STALENESS_LIMIT_MS = 10_000
-/** A smaller fleet counts after it has lasted this long, in milliseconds. */
+/** Time for which the fleet must have been smaller before the smaller size counts, in milliseconds. */
 export const FLEET_SHRINK_DELAY_MS = 30_000
-/** A VM that starts gives the object service this long, in milliseconds, before peers suffice. */
+/** Time that a starting VM waits for the object service before it may start from its peers, in milliseconds. */
 export const START_FROM_PEERS_DELAY_MS = 2_000
-/** Peers whose agreement suffices in a large fleet. */
+/** Number of peers whose confirmation suffices for a start, however large the fleet is. */
 export const MAX_REQUIRED_CONFIRMATIONS = 8
 
 export interface KindListing {
@@ -51,10 +51,10 @@
 export type ConfigurationMessage =
   | { type: 'tick' }
   | { type: 'members', members: readonly Member[] }
-  /** `sentAtMs` is the time at which the call was sent. */
+  /** `sentAtMs` is the time at which the call to the object service was sent. */
   | { type: 'listed', sentAtMs: number, listings: KindListing[] }
   | { type: 'watched', sentAtMs: number, since: number, result: WatchResult }
-  /** `isExpired` when the service's log no longer reaches back to `since`. */
+  /** `isExpired`: the service's history no longer reaches back to the revision of the watch. */
   | { type: 'serviceFailed', sentAtMs: number, isExpired: boolean }
   | { type: 'peer', from: string, body: ConfigurationPeerMessage }
 
@@ -62,7 +62,7 @@
   | { type: 'list' }
   | { type: 'watch', since: number, waitMs: number }
   | { type: 'send', to: string, body: ConfigurationPeerMessage }
-  /** Puts objects in force, in this order. */
+  /** Applies objects, in this order. */
   | { type: 'publish', objects: StoredObject[] }
   | { type: 'log', message: string, fields: Record<string, unknown> }
 
@@ -73,7 +73,7 @@
   isFull: boolean
 }
 
-/** A full listing in progress, page by page from one peer. */
+/** A full listing in progress: one peer sends all its objects, page by page. */
 export interface PeerListing {
   vm: string
   cursor: number
@@ -88,27 +88,27 @@
   members: readonly Member[]
   maxWatchers: number
   watchers: Set<string>
-  /** Complete once, from the object service or from peers; callers may be served. */
+  /** Whether the configuration has been complete once, from the object service or from peers, so that clients may be served. */
   isReady: boolean
-  /** Deletions may be missing: everything has to be listed anew. */
+  /** Whether deletions may be missing, so that all objects have to be listed. */
   needsFullListing: boolean
   load: PeerListing | null
-  /** Peers that hold nothing newer; counted until the VM is ready. */
+  /** Peers that have confirmed that they have nothing newer; needed until the VM is ready. */
   confirmingPeers: Set<string>
   startedAtMs: number | null
-  /** Latest time, in this VM's milliseconds, up to which all accepted changes are surely included. */
+  /** Latest time on this VM's clock, in milliseconds, up to which all accepted changes are known to be included. */
   completeAsOfMs: number
-  /** Members of the fleet while this VM was last surely current. */
+  /** Number of members of the fleet, as last seen while the configuration was not stale, or the highest seen since. */
   fleetSize: number
   fleetSmallerSinceMs: number | null
   pendingCalls: number
   lastCallSentAtMs: number
-  /** When the latest call that was answered had been sent. */
+  /** Sending time of the latest call that succeeded. */
   lastSuccessfulCallSentAtMs: number
   nextCallAtMs: number
   failures: number
   polls: Map<number, Poll>
-  /** Peers that left a poll unanswered, until when they are asked only if no other is left. */
+  /** Unresponsive peers, with the time until which they are polled only if no other is left. */
   skippedUntilMs: Map<string, number>
   nextPollId: number
   nextPollAtMs: number
@@ -144,7 +144,7 @@
     failures: 0,
     polls: new Map(),
     skippedUntilMs: new Map(),
-    // Starts anywhere, so that answers to an earlier process of this VM match no poll.
+    // A random start, so that responses to an earlier process of this VM match no poll of this one.
     nextPollId: Math.floor(random() * 2 ** 40),
     nextPollAtMs: 0
   }
--- a/packages/proxy/src/configuration/watchers.ts
+++ b/packages/proxy/src/configuration/watchers.ts
@@ -1,12 +1,12 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
 import { listPlaceable, type Member } from '../membership/membership-view.ts'
 
-/** VMs that watch the object service at once. */
+/** Maximum number of VMs that watch the object service at the same time. */
 export const MAX_WATCHERS = 9
 
 /**
- * Selects the VMs that watch the object service, by rendezvous hashing: the best of each failure
- * domain first, then the second best, up to `maxWatchers`.
+ * Selects the VMs that watch the object service, by rendezvous hashing: the highest ranked VM of
+ * each failure domain first, then the second highest, up to `maxWatchers`.
  *
  * @example selectWatchers(members).has('vm-1')
  */
