--- a/packages/proxy/src/keys/key-use.ts
+++ b/packages/proxy/src/keys/key-use.ts
@@ -3,9 +3,9 @@
 import { verifyKey } from './verify-key.ts'
 
 /** Time after which a caller may come back to a VM that is cut off, in milliseconds. */
-const CUT_OFF_RETRY_MS = 1_000
+const CUT_OFF_RETRY_DELAY_MS = 1_000
 
-export interface ConnectedCaller {
+export interface ConnectedClient {
   workspace: string
   /** The key that opened the connection; `null` where the contract was open. */
   keyId: string | null
@@ -26,7 +26,7 @@
  * const verdict = checkKeyUse(configuration, { workspace: 'brass-lab', keyId: 'k-3f09ab' })
  * if (!verdict.isAllowed) refuseStatement(verdict.refusal)
  */
-export function checkKeyUse (configuration: KeyConfiguration, { workspace, keyId }: ConnectedCaller): KeyVerdict {
+export function checkKeyUse (configuration: KeyConfiguration, { workspace, keyId }: ConnectedClient): KeyVerdict {
   const contract = configuration.findContract(workspace)
   if (contract === undefined) return refuseUse('the workspace has no contract')
   if (contract.open) return { isAllowed: true }
@@ -34,7 +34,7 @@
   const keyRing = configuration.findKeyRing(workspace)
   if (keyRing?.keys.some(k => k.id === keyId) !== true) return refuseUse('the key was withdrawn')
   if (configuration.isCurrent()) return { isAllowed: true }
-  const refusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is cut off and cannot check the key', retryAfterMs: CUT_OFF_RETRY_MS }
+  const refusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is cut off and cannot check the key', retryAfterMs: CUT_OFF_RETRY_DELAY_MS }
   return { isAllowed: false, refusal, closesConnection: false }
 }
 
--- a/packages/proxy/src/keys/keys.test.ts
+++ b/packages/proxy/src/keys/keys.test.ts
@@ -49,19 +49,19 @@
 type Change = Exclude<typeof commandArbitrary extends fc.Arbitrary<infer T> ? T : never, { type: 'connect' }>
 
 /** Changes the model and, as an operator would, the configuration. */
-function applyChange (configuration: FakeConfiguration, c: Change, granted: Map<string, Map<string, string>>, modes: Map<string, string>, id: string): void {
-  if (c.type === 'cut') {
-    configuration.current = c.isCurrent
-  } else if (c.type === 'edit') {
-    modes.set(c.workspace, c.contract)
-    if (c.contract === 'deleted') configuration.contracts.delete(c.workspace)
-    else configuration.contracts.set(c.workspace, buildContract(c.workspace, c.contract === 'open'))
+function applyChange (configuration: FakeConfiguration, change: Change, granted: Map<string, Map<string, string>>, modes: Map<string, string>, id: string): void {
+  if (change.type === 'cut') {
+    configuration.current = change.isCurrent
+  } else if (change.type === 'edit') {
+    modes.set(change.workspace, change.contract)
+    if (change.contract === 'deleted') configuration.contracts.delete(change.workspace)
+    else configuration.contracts.set(change.workspace, buildContract(change.workspace, change.contract === 'open'))
   } else {
-    const held = granted.get(c.workspace) as Map<string, string>
-    if (c.type === 'withdraw') held.delete(c.key)
-    else if (!held.has(c.key)) held.set(c.key, id)
-    const ring = [...held].map(([key, keyId]) => ({ id: keyId, digest: computeDigest(key).toString('hex'), grantedAt: '', note: '' }))
-    configuration.rings.set(c.workspace, { workspace: c.workspace, keys: ring })
+    const currentKeys = granted.get(change.workspace) as Map<string, string>
+    if (change.type === 'withdraw') currentKeys.delete(change.key)
+    else if (!currentKeys.has(change.key)) currentKeys.set(change.key, id)
+    const ring = [...currentKeys].map(([key, keyId]) => ({ id: keyId, digest: computeDigest(key).toString('hex'), grantedAt: '', note: '' }))
+    configuration.rings.set(change.workspace, { workspace: change.workspace, keys: ring })
   }
 }
 
@@ -72,22 +72,22 @@
       const findKey = createKeyFinder(configuration)
       const granted = new Map(workspaces.map(w => [w, new Map<string, string>()]))
       const modes = new Map(workspaces.map(w => [w, 'keyed']))
-      const callers: Array<{ workspace: string, keyId: string }> = []
+      const clients: Array<{ workspace: string, keyId: string }> = []
       for (const w of workspaces) configuration.contracts.set(w, buildContract(w, false))
       commands.forEach((c, index) => {
         if (c.type === 'connect') {
           const keyId = findKey(c.workspace, c.nonce, makeToken(c.key, c.nonce))
           expect(keyId).equal(granted.get(c.workspace)?.get(c.key))
-          if (keyId !== undefined) callers.push({ workspace: c.workspace, keyId })
+          if (keyId !== undefined) clients.push({ workspace: c.workspace, keyId })
         } else {
           applyChange(configuration, c, granted, modes, `k-${index}`)
         }
-        for (const caller of callers) {
-          const mode = modes.get(caller.workspace)
-          const isHeld = [...granted.get(caller.workspace)?.values() ?? []].includes(caller.keyId)
-          const verdict = checkKeyUse(configuration, caller)
-          expect(verdict.isAllowed).equal(mode === 'open' || (mode === 'keyed' && isHeld && configuration.current))
-          if (!verdict.isAllowed) expect(verdict.closesConnection).equal(mode === 'deleted' || !isHeld)
+        for (const client of clients) {
+          const mode = modes.get(client.workspace)
+          const isKeyGranted = [...granted.get(client.workspace)?.values() ?? []].includes(client.keyId)
+          const verdict = checkKeyUse(configuration, client)
+          expect(verdict.isAllowed).equal(mode === 'open' || (mode === 'keyed' && isKeyGranted && configuration.current))
+          if (!verdict.isAllowed) expect(verdict.closesConnection).equal(mode === 'deleted' || !isKeyGranted)
         }
       })
     }), { numRuns: 1_000, seed: 20_261_203 })
@@ -97,10 +97,10 @@
     const nonce = randomBytes(20)
     const ring: KeyRing = { workspace: 'ash', keys: [{ id: 'k-1', digest: computeDigest('secret').toString('hex'), grantedAt: '', note: '' }] }
     const token = makeToken('secret', nonce)
-    const prove = (t: Uint8Array, workspace = 'ash') => verifyKey({ workspace, nonce, token: t }, ring)
-    expect(prove(token)).equal('k-1')
-    for (let i = 0; i < token.length; i++) expect(prove(token.map((b, j) => i === j ? b ^ 1 : b))).equal(undefined)
-    expect([prove(new Uint8Array()), prove(token.subarray(1)), prove(token, 'birch')]).deep.equal([undefined, undefined, undefined])
+    const findKeyId = (t: Uint8Array, workspace = 'ash') => verifyKey({ workspace, nonce, token: t }, ring)
+    expect(findKeyId(token)).equal('k-1')
+    for (let i = 0; i < token.length; i++) expect(findKeyId(token.map((b, j) => i === j ? b ^ 1 : b))).equal(undefined)
+    expect([findKeyId(new Uint8Array()), findKeyId(token.subarray(1)), findKeyId(token, 'birch')]).deep.equal([undefined, undefined, undefined])
     expect(verifyKey({ workspace: 'ash', nonce, token }, undefined)).equal(undefined)
   })
 
--- a/packages/proxy/src/keys/verify-key.ts
+++ b/packages/proxy/src/keys/verify-key.ts
@@ -23,14 +23,14 @@
  */
 export function verifyKey ({ workspace, nonce, token }: KeyProof, keyRing: KeyRing | undefined): string | undefined {
   if (keyRing === undefined || keyRing.workspace !== workspace || token.length !== DIGEST_BYTES) return undefined
-  const matching = keyRing.keys.filter(k => hasMadeToken(Buffer.from(k.digest, 'hex'), nonce, token))
+  const matching = keyRing.keys.filter(k => isTokenOfKey(Buffer.from(k.digest, 'hex'), nonce, token))
   return matching[0]?.id
 }
 
-function hasMadeToken (digest: Buffer, nonce: Uint8Array, token: Uint8Array): boolean {
+function isTokenOfKey (digest: Buffer, nonce: Uint8Array, token: Uint8Array): boolean {
   const mask = computeSha1(nonce, digest)
-  const stage1 = token.map((byte, i) => byte ^ (mask[i] ?? 0))
-  return timingSafeEqual(computeSha1(stage1), digest)
+  const stage1Hash = token.map((byte, i) => byte ^ (mask[i] ?? 0))
+  return timingSafeEqual(computeSha1(stage1Hash), digest)
 }
 
 function computeSha1 (...parts: Uint8Array[]): Buffer {
