--- a/packages/proxy/src/keys/key-use.ts
+++ b/packages/proxy/src/keys/key-use.ts
@@ -2,25 +2,26 @@
 import type { ConfigurationView } from '../configuration/configuration-view.ts'
 import { verifyKey } from './verify-key.ts'
 
-/** Time after which a caller may come back to a VM that is cut off, in milliseconds. */
+/** Time after which a client may retry on a VM that is cut off, in milliseconds. */
 const CUT_OFF_RETRY_DELAY_MS = 1_000
 
+/** What identifies the client of an open connection. */
 export interface ConnectedClient {
   workspace: string
-  /** The key that opened the connection; `null` where the contract was open. */
+  /** The key with which the client logged in; `null` if the contract was open. */
   keyId: string | null
 }
 
-/** Whether a connected caller may start another statement, and if not, whether its connection ends. */
+/** Whether a connected client may start another statement; if not, with which refusal, and whether its connection is closed. */
 export type KeyVerdict = { isAllowed: true } | { isAllowed: false, refusal: Refusal, closesConnection: boolean }
 
 type KeyConfiguration = Pick<ConfigurationView, 'findContract' | 'findKeyRing' | 'isCurrent'>
 
 /**
- * Decides whether a caller may start another statement now.
+ * Decides whether a client may start another statement now.
  *
- * Open contracts need no key. A VM that may have missed a withdrawal refuses for now, without
- * closing; statements that already run are not touched.
+ * Open contracts need no key. A VM that may have missed the withdrawal of a key refuses the statement but
+ * keeps the connection open, so that the client can retry. Statements that are already running are not affected.
  *
  * @example
  * const verdict = checkKeyUse(configuration, { workspace: 'brass-lab', keyId: 'k-3f09ab' })
@@ -43,9 +44,12 @@
 }
 
 /**
- * Creates the check of keys at login.
+ * Creates the function that finds the key of a login.
  *
- * @example const findKey = createKeyFinder(configuration); findKey('brass-lab', nonce, token)
+ * @returns a function that returns the id of the key from which the token was made, or `undefined`
+ * @example
+ * const findKey = createKeyFinder(configuration)
+ * findKey('brass-lab', nonce, token) // 'k-3f09ab'
  */
 export function createKeyFinder (configuration: KeyConfiguration): (workspace: string, nonce: Uint8Array, token: Uint8Array) => string | undefined {
   return (workspace, nonce, token) => verifyKey({ workspace, nonce, token }, configuration.findKeyRing(workspace))
--- a/packages/proxy/src/keys/keys.test.ts
+++ b/packages/proxy/src/keys/keys.test.ts
@@ -16,7 +16,7 @@
   return computeSha1(computeSha1(Buffer.from(key)))
 }
 
-/** The client's side of mysql_native_password. */
+/** Computes the token as a client does for `mysql_native_password`. */
 function makeToken (key: string, nonce: Uint8Array): Uint8Array {
   const mask = computeSha1(nonce, computeDigest(key))
   return computeSha1(Buffer.from(key)).map((byte, i) => byte ^ (mask[i] as number))
@@ -32,7 +32,7 @@
   fc.record({ type: fc.constant('connect' as const), workspace: workspaceArbitrary, key: keyArbitrary, nonce: fc.uint8Array({ minLength: 20, maxLength: 20 }) })
 )
 
-/** Configuration as a VM holds it: digests and ids only. */
+/** The configuration of a VM, which contains digests and ids of keys only. */
 class FakeConfiguration {
   readonly contracts = new Map<string, Contract>()
   readonly rings = new Map<string, KeyRing>()
@@ -48,7 +48,7 @@
 
 type Change = Exclude<typeof commandArbitrary extends fc.Arbitrary<infer T> ? T : never, { type: 'connect' }>
 
-/** Changes the model and, as an operator would, the configuration. */
+/** Applies a change to the model and, as an operator would, to the configuration. */
 function applyChange (configuration: FakeConfiguration, change: Change, granted: Map<string, Map<string, string>>, modes: Map<string, string>, id: string): void {
   if (change.type === 'cut') {
     configuration.current = change.isCurrent
@@ -66,7 +66,7 @@
 }
 
 describe('keys', () => {
-  it('agree with a naive model that knows the keys themselves', () => {
+  it('are accepted and refused as by a simple model that has the plain keys', () => {
     fc.assert(fc.property(fc.array(commandArbitrary, { maxLength: 40 }), commands => {
       const configuration = new FakeConfiguration()
       const findKey = createKeyFinder(configuration)
@@ -93,7 +93,7 @@
     }), { numRuns: 1_000, seed: 20_261_203 })
   })
 
-  it('refuse damaged and missing tokens, and rings of another workspace', () => {
+  it('do not match damaged or missing tokens, or tokens checked against the ring of another workspace', () => {
     const nonce = randomBytes(20)
     const ring: KeyRing = { workspace: 'ash', keys: [{ id: 'k-1', digest: computeDigest('secret').toString('hex'), grantedAt: '', note: '' }] }
     const token = makeToken('secret', nonce)
@@ -104,7 +104,7 @@
     expect(verifyKey({ workspace: 'ash', nonce, token }, undefined)).equal(undefined)
   })
 
-  it('refuse a caller without a key once the contract is not open any more', () => {
+  it('are required of a client without a key once its contract is no longer open', () => {
     const configuration = new FakeConfiguration()
     configuration.contracts.set('ash', buildContract('ash', true))
     expect(checkKeyUse(configuration, { workspace: 'ash', keyId: null }).isAllowed).equal(true)
--- a/packages/proxy/src/keys/verify-key.ts
+++ b/packages/proxy/src/keys/verify-key.ts
@@ -3,21 +3,23 @@
 
 const DIGEST_BYTES = 20
 
-/** What a caller showed when it connected. */
+/** What a client sent at login to prove that it has a key. */
 export interface KeyProof {
   workspace: string
-  /** The 20 bytes that the server sent to the caller. */
+  /** The 20 random bytes that the server sent to the client. */
   nonce: Uint8Array
   /** SHA1(key) XOR SHA1(nonce + SHA1(SHA1(key))), as `mysql_native_password` computes it. */
   token: Uint8Array
 }
 
 /**
- * Finds the key of a workspace from which a token was made; `undefined` when there is none.
+ * Finds the key of a workspace from which a token was made.
  *
- * The key itself is not needed: SHA1(key) follows from the token and the stored digest
+ * The key itself is not needed: SHA1(key) is computed from the token and the stored digest
  * SHA1(SHA1(key)), and must hash to that digest. All keys of the ring are tried, so that the time
- * taken tells nothing about which one matched.
+ * taken does not reveal which one matched.
+ *
+ * @returns the id of the key; `undefined` if there is none
  *
  * @example verifyKey({ workspace: 'brass-lab', nonce, token }, keyRing) // 'k-3f09ab'
  */
