--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationView } from '../configuration/configuration-view.ts'
 import type { KeyVerdict } from '../keys/key-use.ts'
 import type { Limiter } from '../limits/limiter.ts'
-import { applyFrame, applyMissingPosition, applyUse, decideCommand, type CommandDecision, type PlannedStatement } from '../session/decide-command.ts'
+import { applyFrame, handleMissingPosition, selectDatabase, decideCommand, type CommandDecision, type PlannedStatement } from '../session/decide-command.ts'
 import type { SessionState } from '../session/state.ts'
 import type { StatementRouter } from '../statements/statement-router.ts'
 import type { Metrics } from '../telemetry/metrics.ts'
@@ -59,7 +59,7 @@
     sendRefusal(options, target, { kind: 'notRunDenied', reason: text === undefined ? 'the statement is not valid UTF-8' : 'the statement is too large' })
     return undefined
   }
-  if (command.code === CommandCode.initDb) return applyUse(session, text, contract)
+  if (command.code === CommandCode.initDb) return selectDatabase(session, text, contract)
   return decideCommand(session, text, { contract, secret: options.configuration.findFleetSecret() })
 }
 
@@ -124,7 +124,7 @@
     sendFrame(options, target, frame)
     if (frame.kind === 'rows') await socket.waitForDrain()
   }
-  if (isPositionDue) applyMissingPosition(session, statement)
+  if (isPositionDue) handleMissingPosition(session, statement)
 }
 
 function sendFrame (options: CommandRunnerOptions, target: CommandTarget, frame: AnswerFrame): void {
--- a/packages/proxy/src/session/classify-statement.ts
+++ b/packages/proxy/src/session/classify-statement.ts
@@ -7,11 +7,11 @@
   /** Cannot work through a shared connection; `reason` tells the caller why. */
   | { kind: 'unsupported', reason: string }
 
-const CACHE_SIZE = 2_000
+const MAX_CACHED_STATEMENTS = 2_000
 const MAX_CACHED_TEXT_LENGTH = 4_096
 
 const parser = new sqlParser.Parser()
-const cache = new Map<string, Classification>()
+const classificationCache = new Map<string, Classification>()
 
 /** Functions that neither change anything nor depend on the connection. */
 const readOnlyFunctions = new Set([
@@ -24,7 +24,7 @@
 ])
 
 /** Nodes of a syntax tree that a plain read may not contain. */
-const writingNodeTypes = new Set(['assign', 'var'])
+const disallowedNodeTypes = new Set(['assign', 'var'])
 
 const connectionStatePattern = /\b(get_lock|release_lock|release_all_locks|is_free_lock|last_insert_id|found_rows|row_count|connection_id)\s*\(/i
 const temporaryTablePattern = /^(create|drop)\s+temporary\b/i
@@ -39,15 +39,15 @@
  */
 export function classifyStatement (text: string, inTransaction: boolean): Classification {
   const trimmed = trimStatement(text)
-  const control = classifyControl(trimmed)
-  if (control !== undefined) return control
+  const matched = classifyByPattern(trimmed)
+  if (matched !== undefined) return matched
   if (inTransaction && schemaChangePattern.test(trimmed)) {
     return { kind: 'unsupported', reason: 'a schema change would commit the open transaction; commit or roll back first' }
   }
   if (connectionStatePattern.test(trimmed) && !inTransaction) {
     return { kind: 'unsupported', reason: 'the statement depends on one connection to the endpoint; run it in a transaction' }
   }
-  return findCached(trimmed)
+  return classifyBySyntax(trimmed)
 }
 
 /** Removes leading white space and comments, and a trailing semicolon. */
@@ -61,7 +61,7 @@
   return rest.replace(/\s*;\s*$/, '')
 }
 
-function classifyControl (text: string): Classification | undefined {
+function classifyByPattern (text: string): Classification | undefined {
   if (/^(begin(\s+work)?|start\s+transaction(\s+read\s+write)?)$/i.test(text)) return { kind: 'statement', class: 'begin' }
   if (/^commit(\s+work)?$/i.test(text)) return { kind: 'statement', class: 'commit' }
   if (/^rollback(\s+work)?$/i.test(text)) return { kind: 'statement', class: 'rollback' }
@@ -73,13 +73,13 @@
   return undefined
 }
 
-function findCached (text: string): Classification {
-  const known = cache.get(text)
-  if (known !== undefined) return known
+function classifyBySyntax (text: string): Classification {
+  const cached = classificationCache.get(text)
+  if (cached !== undefined) return cached
   const classification: Classification = { kind: 'statement', class: isPlainRead(text) ? 'read' : 'write' }
   if (text.length > MAX_CACHED_TEXT_LENGTH) return classification
-  if (cache.size >= CACHE_SIZE) cache.delete(cache.keys().next().value as string)
-  cache.set(text, classification)
+  if (classificationCache.size >= MAX_CACHED_STATEMENTS) classificationCache.delete(classificationCache.keys().next().value as string)
+  classificationCache.set(text, classification)
   return classification
 }
 
@@ -88,7 +88,7 @@
   try {
     const tree = parser.astify(text, { database: 'MySQL' })
     const statements = Array.isArray(tree) ? tree : [tree]
-    return statements.length === 1 && isReadingNode(statements[0])
+    return statements.length === 1 && isReadOnlyNode(statements[0])
   } catch {
     return false
   }
@@ -101,15 +101,15 @@
   locking_read?: unknown
 }
 
-function isReadingNode (value: unknown): boolean {
+function isReadOnlyNode (value: unknown): boolean {
   if (value === null || typeof value !== 'object') return true
-  if (Array.isArray(value)) return value.every(isReadingNode)
+  if (Array.isArray(value)) return value.every(isReadOnlyNode)
   const node = value as SyntaxNode
-  if (typeof node.type === 'string' && writingNodeTypes.has(node.type)) return false
+  if (typeof node.type === 'string' && disallowedNodeTypes.has(node.type)) return false
   if (node.into?.keyword !== undefined && node.into.keyword !== null) return false
   if (node.locking_read !== undefined && node.locking_read !== null) return false
   if (node.type === 'function' && !readOnlyFunctions.has(readFunctionName(node.name))) return false
-  return Object.values(value).every(isReadingNode)
+  return Object.values(value).every(isReadOnlyNode)
 }
 
 function readFunctionName (name: unknown): string {
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -1,7 +1,7 @@
 import type { AnswerFrame, Contract, FleetSecret, LogPosition, Refusal, StatementClass } from '@camphorpitch/wire'
 import { classifyStatement, trimStatement } from './classify-statement.ts'
 import { dropPosition, recordPosition, type SessionState } from './state.ts'
-import { parseSteering, type SteeringCommand } from './steering.ts'
+import { parseProxyCommand, type ProxyCommand } from './steering.ts'
 import { applyToken, SessionTokenError, signToken } from './token.ts'
 
 /** What the entry VM must do for one statement of a caller. */
@@ -28,14 +28,14 @@
   secret: FleetSecret | undefined
 }
 
-const SECRET_RETRY_MS = 1_000
+const SECRET_RETRY_DELAY_MS = 1_000
 
 /** Decides what a statement's text asks for; steering takes effect on the session at once. */
 export function decideCommand (session: SessionState, text: string, context: CommandContext): CommandDecision {
   const trimmed = trimStatement(text)
   if (trimmed === '') return refuseCommand('the statement is empty')
-  const steering = parseSteering(trimmed)
-  if (steering !== undefined) return applySteering(session, steering, context)
+  const proxyCommand = parseProxyCommand(trimmed)
+  if (proxyCommand !== undefined) return applyProxyCommand(session, proxyCommand, context)
   const classification = classifyStatement(trimmed, session.transaction !== null)
   if (classification.kind === 'unsupported') return refuseCommand(classification.reason)
   return planStatement(session, trimmed, classification.class, context.contract)
@@ -45,7 +45,7 @@
   return { kind: 'refuse', refusal: { kind: 'notRunDenied', reason } }
 }
 
-function applySteering (session: SessionState, command: SteeringCommand, context: CommandContext): CommandDecision {
+function applyProxyCommand (session: SessionState, command: ProxyCommand, context: CommandContext): CommandDecision {
   switch (command.kind) {
     case 'ignore': return { kind: 'ok' }
     case 'invalid': return refuseCommand(command.reason)
@@ -55,31 +55,31 @@
     case 'setWriteId':
       session.writeId = command.writeId
       return { kind: 'ok' }
-    case 'useDatabase': return applyUse(session, command.database, context.contract)
+    case 'useDatabase': return selectDatabase(session, command.database, context.contract)
     case 'readSession': return readSession(session, context.secret)
     case 'resumeSession': return resumeSession(session, command.token, context.secret)
   }
 }
 
 /** Changes the session's database, if the contract names it. */
-export function applyUse (session: SessionState, database: string, contract: Contract): CommandDecision {
+export function selectDatabase (session: SessionState, database: string, contract: Contract): CommandDecision {
   if (contract.databases[database] === undefined) return refuseCommand(`the contract names no database '${database}'`)
   if (session.transaction !== null) return refuseCommand('a transaction is open on another database')
   session.database = database
   return { kind: 'ok' }
 }
 
-function refuseWithoutSecret (): CommandDecision {
-  return { kind: 'refuse', refusal: { kind: 'notRunRetry', reason: 'the fleet has no session secret yet', retryAfterMs: SECRET_RETRY_MS } }
+function refuseUntilSecretKnown (): CommandDecision {
+  return { kind: 'refuse', refusal: { kind: 'notRunRetry', reason: 'the fleet has no session secret yet', retryAfterMs: SECRET_RETRY_DELAY_MS } }
 }
 
 function readSession (session: SessionState, secret: FleetSecret | undefined): CommandDecision {
-  if (secret === undefined) return refuseWithoutSecret()
+  if (secret === undefined) return refuseUntilSecretKnown()
   return { kind: 'token', token: signToken(session, secret) }
 }
 
 function resumeSession (session: SessionState, token: string, secret: FleetSecret | undefined): CommandDecision {
-  if (secret === undefined) return refuseWithoutSecret()
+  if (secret === undefined) return refuseUntilSecretKnown()
   try {
     applyToken(session, token, secret)
     return { kind: 'ok' }
@@ -93,14 +93,14 @@
   const { transaction } = session
   const database = transaction?.database ?? session.database
   if (database === null) return refuseCommand('no database is selected')
-  const denial = findDenial(session, database, statementClass, contract)
-  if (denial !== undefined) return refuseCommand(denial)
-  const endsNothing = transaction === null && (statementClass === 'commit' || statementClass === 'rollback')
-  if (endsNothing) return { kind: 'ok' }
+  const denialReason = findDenialReason(session, database, statementClass, contract)
+  if (denialReason !== undefined) return refuseCommand(denialReason)
+  const hasNoTransactionToEnd = transaction === null && (statementClass === 'commit' || statementClass === 'rollback')
+  if (hasNoTransactionToEnd) return { kind: 'ok' }
   return { kind: 'run', statement: createStatement(session, database, text, statementClass, contract) }
 }
 
-function findDenial (session: SessionState, database: string, statementClass: StatementClass, contract: Contract): string | undefined {
+function findDenialReason (session: SessionState, database: string, statementClass: StatementClass, contract: Contract): string | undefined {
   const access = contract.databases[database]
   if (access === undefined) return `the contract names no database '${database}'`
   if (access.access === 'read' && statementClass !== 'read') return `the contract allows only reads of '${database}'`
@@ -110,9 +110,9 @@
 
 function createStatement (session: SessionState, database: string, text: string, statementClass: StatementClass, contract: Contract): PlannedStatement {
   const { transaction } = session
-  const isNamedWrite = statementClass === 'write' && transaction === null
-  const writeId = isNamedWrite ? session.writeId : null
-  if (isNamedWrite) session.writeId = null
+  const canUseWriteId = statementClass === 'write' && transaction === null
+  const writeId = canUseWriteId ? session.writeId : null
+  if (canUseWriteId) session.writeId = null
   return {
     database,
     text,
@@ -141,11 +141,11 @@
 }
 
 function applyRefusal (session: SessionState, statement: PlannedStatement, refusal: Refusal): void {
-  const isEnded = refusal.kind === 'transactionLost' || (statement.class === 'commit' && refusal.kind === 'outcomeUnknown')
-  if (isEnded) session.transaction = null
+  const hasTransactionEnded = refusal.kind === 'transactionLost' || (statement.class === 'commit' && refusal.kind === 'outcomeUnknown')
+  if (hasTransactionEnded) session.transaction = null
 }
 
 /** Called when a read's rows went out but the bound of what it saw never came. */
-export function applyMissingPosition (session: SessionState, statement: PlannedStatement): void {
+export function handleMissingPosition (session: SessionState, statement: PlannedStatement): void {
   if (statement.transactionId === null) dropPosition(session, statement.database)
 }
--- a/packages/proxy/src/session/session.test.ts
+++ b/packages/proxy/src/session/session.test.ts
@@ -19,12 +19,12 @@
   return createSession({ sessionId: 's', workspace, keyId: 'k', database: 'orders' })
 }
 
-function decide (session: SessionState, text: string): ReturnType<typeof decideCommand> {
+function decideText (session: SessionState, text: string): ReturnType<typeof decideCommand> {
   return decideCommand(session, text, { contract, secret })
 }
 
 function planStatement (session: SessionState, text: string): PlannedStatement {
-  const decision = decide(session, text)
+  const decision = decideText(session, text)
   if (decision.kind !== 'run') throw new Error(`not run: ${JSON.stringify(decision)}`)
   return decision.statement
 }
@@ -34,7 +34,7 @@
     const first = openSession()
     recordPosition(first, 'orders', { term: 2, index: 8 })
     const second = openSession()
-    expect(decide(second, `SET @camphorpitch_session = '${signToken(first, secret)}'`).kind).to.equal('ok')
+    expect(decideText(second, `SET @camphorpitch_session = '${signToken(first, secret)}'`).kind).to.equal('ok')
     expect(planStatement(second, 'SELECT 1').required).to.deep.equal({ term: 2, index: 8 })
   })
 
@@ -44,7 +44,7 @@
     const forged = signToken(openSession(), { sessionKeys: ['cd'.repeat(32)] })
     const damaged = [token.slice(0, -1), token.replace('v1.', 'v1.A'), 'v1.x', '', `${token}.x`]
     for (const t of [foreign, forged, ...damaged]) {
-      expect(decide(openSession(), `SET @camphorpitch_session = '${t}'`), t).to.have.nested.property('refusal.kind', 'notRunDenied')
+      expect(decideText(openSession(), `SET @camphorpitch_session = '${t}'`), t).to.have.nested.property('refusal.kind', 'notRunDenied')
     }
   })
 
@@ -58,7 +58,7 @@
 
   it('names only the next write', () => {
     const session = openSession()
-    decide(session, "SET @camphorpitch_request_id = 'order-7'")
+    decideText(session, "SET @camphorpitch_request_id = 'order-7'")
     expect(planStatement(session, 'SELECT 1').writeId).to.equal(null)
     expect(planStatement(session, 'INSERT INTO t VALUES (1)').writeId).to.equal('order-7')
     expect(planStatement(session, 'INSERT INTO t VALUES (1)').writeId).to.equal(null)
@@ -66,11 +66,11 @@
 
   it('allows only what the contract allows', () => {
     const session = openSession()
-    expect(decide(session, 'USE stranger')).to.have.nested.property('refusal.kind', 'notRunDenied')
-    expect(decide(session, 'USE archive').kind).to.equal('ok')
-    expect(decide(session, 'DELETE FROM t')).to.have.nested.property('refusal.kind', 'notRunDenied')
+    expect(decideText(session, 'USE stranger')).to.have.nested.property('refusal.kind', 'notRunDenied')
+    expect(decideText(session, 'USE archive').kind).to.equal('ok')
+    expect(decideText(session, 'DELETE FROM t')).to.have.nested.property('refusal.kind', 'notRunDenied')
     expect(planStatement(session, 'SELECT 1').maxAgeMs).to.equal(60_000)
-    for (const text of ['', ';', '/* nothing */']) expect(decide(session, text).kind).to.equal('refuse')
+    for (const text of ['', ';', '/* nothing */']) expect(decideText(session, text).kind).to.equal('refuse')
   })
 
   it('stays in a transaction until it ends', () => {
@@ -78,7 +78,7 @@
     const begin = planStatement(session, 'START TRANSACTION')
     applyFrame(session, begin, 'vm-b', { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: 't1' })
     expect(planStatement(session, 'SELECT 1')).to.include({ transactionId: 't1', pinnedVm: 'vm-b' })
-    expect(decide(session, 'CREATE TABLE x (a int)').kind).to.equal('refuse')
+    expect(decideText(session, 'CREATE TABLE x (a int)').kind).to.equal('refuse')
     const commit = planStatement(session, 'COMMIT')
     applyFrame(session, commit, 'vm-b', { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: '' } })
     expect(planStatement(session, 'SELECT 1').transactionId).to.equal(null)
--- a/packages/proxy/src/session/state.ts
+++ b/packages/proxy/src/session/state.ts
@@ -36,8 +36,8 @@
 
 /** Raises the session's position in a database; it never goes back. */
 export function recordPosition (session: SessionState, database: string, position: LogPosition): void {
-  const known = session.positions.get(database)
-  session.positions.set(database, pickLaterPosition(known, position))
+  const current = session.positions.get(database)
+  session.positions.set(database, pickLaterPosition(current, position))
 }
 
 /**
--- a/packages/proxy/src/session/token.ts
+++ b/packages/proxy/src/session/token.ts
@@ -39,8 +39,8 @@
   const parts = token.split('.')
   if (token.length > MAX_TOKEN_LENGTH || parts.length !== 3 || parts[0] !== TOKEN_VERSION) throw new SessionTokenError('not a session token')
   const [version, encoded, mac] = parts as [string, string, string]
-  const isSigned = secret.sessionKeys.some(k => hasEqualMac(computeMac(`${version}.${encoded}`, k), mac))
-  if (!isSigned) throw new SessionTokenError('the session token is not signed by this fleet')
+  const hasValidSignature = secret.sessionKeys.some(k => hasEqualMac(computeMac(`${version}.${encoded}`, k), mac))
+  if (!hasValidSignature) throw new SessionTokenError('the session token is not signed by this fleet')
   return parsePayload(encoded)
 }
 
