--- a/packages/proxy/src/session/classify-statement.ts
+++ b/packages/proxy/src/session/classify-statement.ts
@@ -1,10 +1,10 @@
 import type { StatementClass } from '@camphorpitch/wire'
 import sqlParser from 'node-sql-parser'
 
-/** What the entry VM makes of a statement's text. */
+/** How the entry VM handles a statement, judged by its text. */
 export type Classification =
   | { kind: 'statement', class: StatementClass }
-  /** Cannot work through a shared connection; `reason` tells the caller why. */
+  /** Does not work over shared connections to an endpoint, or administers the endpoint; `reason` is sent to the client. */
   | { kind: 'unsupported', reason: string }
 
 const MAX_CACHED_STATEMENTS = 2_000
@@ -13,7 +13,7 @@
 const parser = new sqlParser.Parser()
 const classificationCache = new Map<string, Classification>()
 
-/** Functions that neither change anything nor depend on the connection. */
+/** SQL functions that change nothing and do not depend on the connection. A statement that uses any other is a write. */
 const readOnlyFunctions = new Set([
   'abs', 'ceil', 'ceiling', 'char_length', 'character_length', 'coalesce', 'concat', 'concat_ws', 'date', 'date_format', 'datediff',
   'day', 'dayofmonth', 'dayofweek', 'dayofyear', 'floor', 'format', 'from_unixtime', 'greatest', 'group_concat', 'hex', 'hour', 'if',
@@ -23,7 +23,7 @@
   'trim', 'truncate', 'ucase', 'unhex', 'unix_timestamp', 'upper', 'week', 'weekday', 'year', 'printf', 'typeof', 'zeroblob'
 ])
 
-/** Nodes of a syntax tree that a plain read may not contain. */
+/** Types of syntax tree nodes that a read must not contain: assignments and variables. */
 const disallowedNodeTypes = new Set(['assign', 'var'])
 
 const connectionStatePattern = /\b(get_lock|release_lock|release_all_locks|is_free_lock|last_insert_id|found_rows|row_count|connection_id)\s*\(/i
@@ -33,7 +33,7 @@
 const groupStatusPattern = /^show\s+group\b/i
 
 /**
- * Classifies a statement; whatever is not surely a plain read is a write.
+ * Classifies a statement by its text. A statement is a write unless it is proved to be a plain read.
  *
  * @example classifyStatement('SELECT 1', false) // { kind: 'statement', class: 'read' }
  */
@@ -50,7 +50,7 @@
   return classifyBySyntax(trimmed)
 }
 
-/** Removes leading white space and comments, and a trailing semicolon. */
+/** Removes leading white space and comments, and a trailing semicolon. Executable comments (`/*!`) are kept. */
 export function trimStatement (text: string): string {
   let rest = text.trim()
   let previous = ''
@@ -61,6 +61,7 @@
   return rest.replace(/\s*;\s*$/, '')
 }
 
+/** Classifies transaction control and unsupported statements; `undefined` for all others. */
 function classifyByPattern (text: string): Classification | undefined {
   if (/^(begin(\s+work)?|start\s+transaction(\s+read\s+write)?)$/i.test(text)) return { kind: 'statement', class: 'begin' }
   if (/^commit(\s+work)?$/i.test(text)) return { kind: 'statement', class: 'commit' }
@@ -73,6 +74,7 @@
   return undefined
 }
 
+/** Classifies a statement as a read or a write by its syntax tree, with a cache of recent texts. */
 function classifyBySyntax (text: string): Classification {
   const cached = classificationCache.get(text)
   if (cached !== undefined) return cached
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -4,14 +4,14 @@
 import { parseProxyCommand, type ProxyCommand } from './steering.ts'
 import { applyToken, SessionTokenError, signToken } from './token.ts'
 
-/** What the entry VM must do for one statement of a caller. */
+/** What the entry VM must do for one statement of a client. */
 export type CommandDecision =
   | { kind: 'ok' }
   | { kind: 'token', token: string }
   | { kind: 'refuse', refusal: Refusal }
   | { kind: 'run', statement: PlannedStatement }
 
-/** A statement that is to run, but for its request id and the time left. */
+/** A statement that is to run; request id and timeout are added when it is sent. */
 export interface PlannedStatement {
   database: string
   text: string
@@ -28,9 +28,10 @@
   secret: FleetSecret | undefined
 }
 
+/** Time after which a client may retry while this VM has no session secret, in milliseconds. */
 const SECRET_RETRY_DELAY_MS = 1_000
 
-/** Decides what a statement's text asks for; steering takes effect on the session at once. */
+/** Decides what to do for a statement. Commands to the proxy itself change the session immediately. */
 export function decideCommand (session: SessionState, text: string, context: CommandContext): CommandDecision {
   const trimmed = trimStatement(text)
   if (trimmed === '') return refuseCommand('the statement is empty')
@@ -61,7 +62,7 @@
   }
 }
 
-/** Changes the session's database, if the contract names it. */
+/** Changes the session's database; refused if the contract does not name it or a transaction is open. */
 export function selectDatabase (session: SessionState, database: string, contract: Contract): CommandDecision {
   if (contract.databases[database] === undefined) return refuseCommand(`the contract names no database '${database}'`)
   if (session.transaction !== null) return refuseCommand('a transaction is open on another database')
@@ -125,7 +126,7 @@
   }
 }
 
-/** Takes one frame of an answer into the session. */
+/** Updates the session's position and transaction from one frame of a response. */
 export function applyFrame (session: SessionState, statement: PlannedStatement, vm: string, frame: AnswerFrame): void {
   switch (frame.kind) {
     case 'ok': return applyOk(session, statement, vm, frame)
@@ -145,7 +146,11 @@
   if (hasTransactionEnded) session.transaction = null
 }
 
-/** Called when a read's rows went out but the bound of what it saw never came. */
+/**
+ * Drops the session's position after a read that sent its rows but no position.
+ *
+ * What the read saw may be newer than the position of the session. In a transaction nothing changes.
+ */
 export function handleMissingPosition (session: SessionState, statement: PlannedStatement): void {
   if (statement.transactionId === null) dropPosition(session, statement.database)
 }
--- a/packages/proxy/src/session/session.test.ts
+++ b/packages/proxy/src/session/session.test.ts
@@ -25,12 +25,12 @@
 
 function planStatement (session: SessionState, text: string): PlannedStatement {
   const decision = decideText(session, text)
-  if (decision.kind !== 'run') throw new Error(`not run: ${JSON.stringify(decision)}`)
+  if (decision.kind !== 'run') throw new Error(`expected a statement to run, got ${JSON.stringify(decision)}`)
   return decision.statement
 }
 
 describe('session', () => {
-  it('carries positions to another VM by token', () => {
+  it('resumes its positions on another VM from a token', () => {
     const first = openSession()
     recordPosition(first, 'orders', { term: 2, index: 8 })
     const second = openSession()
@@ -38,7 +38,7 @@
     expect(planStatement(second, 'SELECT 1').required).to.deep.equal({ term: 2, index: 8 })
   })
 
-  it('refuses forged, damaged and foreign tokens and keeps its positions', () => {
+  it('refuses forged and damaged tokens and those of other workspaces', () => {
     const token = signToken(openSession(), secret)
     const foreign = signToken(openSession('other'), secret)
     const forged = signToken(openSession(), { sessionKeys: ['cd'.repeat(32)] })
@@ -48,7 +48,7 @@
     }
   })
 
-  it('never takes a position back', () => {
+  it('keeps its latest position when an earlier one arrives', () => {
     const session = openSession()
     const statement = planStatement(session, 'UPDATE t SET a = 1')
     applyFrame(session, statement, 'vm', { kind: 'ok', affectedRows: 1, insertId: 0, position: { term: 3, index: 9 }, transactionId: null })
@@ -56,7 +56,7 @@
     expect(planStatement(session, 'SELECT 1').required).to.deep.equal({ term: 3, index: 9 })
   })
 
-  it('names only the next write', () => {
+  it('assigns the request id to the next write only', () => {
     const session = openSession()
     decideText(session, "SET @camphorpitch_request_id = 'order-7'")
     expect(planStatement(session, 'SELECT 1').writeId).to.equal(null)
@@ -64,7 +64,7 @@
     expect(planStatement(session, 'INSERT INTO t VALUES (1)').writeId).to.equal(null)
   })
 
-  it('allows only what the contract allows', () => {
+  it('refuses databases and writes that the contract does not allow, and empty statements', () => {
     const session = openSession()
     expect(decideText(session, 'USE stranger')).to.have.nested.property('refusal.kind', 'notRunDenied')
     expect(decideText(session, 'USE archive').kind).to.equal('ok')
@@ -73,7 +73,7 @@
     for (const text of ['', ';', '/* nothing */']) expect(decideText(session, text).kind).to.equal('refuse')
   })
 
-  it('stays in a transaction until it ends', () => {
+  it('runs statements on the VM of its transaction until the transaction ends', () => {
     const session = openSession()
     const begin = planStatement(session, 'START TRANSACTION')
     applyFrame(session, begin, 'vm-b', { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: 't1' })
@@ -90,12 +90,12 @@
   const writes = ['INSERT INTO t VALUES (1)', 'SELECT a FROM t FOR UPDATE', 'SELECT a FROM t LOCK IN SHARE MODE', "SELECT 1 INTO OUTFILE 'x'", 'SELECT @x := 1', 'SELECT nextval(s)', 'SELECT 1 /*! INTO @x */', 'WITH x AS (SELECT 1) DELETE FROM t', 'SELECT sleep(1)', 'EXPLAIN SELECT 1', 'select from where']
   const unsupported = ['LOCK TABLES t READ', 'SELECT last_insert_id()', "SELECT get_lock('a', 1)", 'CREATE TEMPORARY TABLE t (a int)', 'COMMIT AND CHAIN', 'START TRANSACTION READ ONLY', 'XA START 1', 'GROUP FENCE TERM 9 BY 1', 'SHOW GROUP STATUS', '/**/ GROUP PROMOTE TERM 9', '# x\nGROUP FENCE TERM 9']
 
-  it('takes only plain reads for reads', () => {
+  it('classifies only plain SELECT statements as reads', () => {
     for (const text of reads) expect(classifyStatement(text, false), text).to.deep.equal({ kind: 'statement', class: 'read' })
     for (const text of writes) expect(classifyStatement(text, false), text).to.deep.equal({ kind: 'statement', class: 'write' })
   })
 
-  it('refuses what would stay on a shared connection or reach the group itself', () => {
+  it('reports statements as unsupported that keep state on a connection or administer the group', () => {
     for (const text of unsupported) expect(classifyStatement(text, false).kind, text).to.equal('unsupported')
   })
 })
--- a/packages/proxy/src/session/state.ts
+++ b/packages/proxy/src/session/state.ts
@@ -6,18 +6,18 @@
   vm: string
 }
 
-/** Everything that one caller's connection knows of its session. */
+/** The session of one client connection. */
 export interface SessionState {
   sessionId: string
   workspace: string
-  /** Key that opened the connection; `null` on an open contract. */
+  /** Id of the key with which the client logged in; `null` for an open contract. */
   keyId: string | null
   database: string | null
-  /** Position that reads of a database must include; an absent one asks for all acknowledged before the read. */
+  /** For each database, the position that reads must include. Without one, a read must include every write acknowledged before it. */
   positions: Map<string, LogPosition>
-  /** Set by the caller; `null` leaves it to the contract. */
+  /** Maximum age of the data read, in milliseconds, as set by the client; `null` for the contract's default. */
   maxAgeMs: number | null
-  /** Names the next write. */
+  /** Id that the client has set for its next write. */
   writeId: string | null
   transaction: OpenTransaction | null
 }
@@ -34,16 +34,17 @@
   return { sessionId, workspace, keyId, database, positions: new Map(), maxAgeMs: null, writeId: null, transaction: null }
 }
 
-/** Raises the session's position in a database; it never goes back. */
+/** Advances the session's position in a database; an earlier position is ignored. */
 export function recordPosition (session: SessionState, database: string, position: LogPosition): void {
   const current = session.positions.get(database)
   session.positions.set(database, pickLaterPosition(current, position))
 }
 
 /**
- * Forgets the position, after a read whose upper bound never came.
+ * Drops the session's position in a database, after a read that did not report how much it had seen.
  *
- * The next read then asks for everything acknowledged before it, which includes what a replica showed.
+ * The next read must then include every write acknowledged before it, and so everything that an earlier read
+ * may have seen on a replica.
  */
 export function dropPosition (session: SessionState, database: string): void {
   session.positions.delete(database)
--- a/packages/proxy/src/session/steering.ts
+++ b/packages/proxy/src/session/steering.ts
@@ -1,4 +1,4 @@
-/** A statement that the entry VM answers itself. */
+/** A statement to the proxy itself, which the entry VM handles without an endpoint. */
 export type ProxyCommand =
   | { kind: 'resumeSession', token: string }
   | { kind: 'readSession' }
@@ -16,12 +16,13 @@
 const writeIdPattern = /^set\s+@camphorpitch_request_id\s*:?=\s*'([^']*)'$/i
 const readSessionPattern = /^select\s+@camphorpitch_session$/i
 const usePattern = /^use\s+`?([\w-]+)`?$/i
+/** `SET` statements that drivers send on connect and that request what the proxy does anyway. */
 const ignoredSetPattern = /^set\s+(names\s+'?utf8(mb3|mb4)?'?(\s+collate\s+'?\w+'?)?|(session\s+|@@(session\.)?)?autocommit\s*=\s*(1|on|true)|character_set_results\s*=\s*null)$/i
 
 /**
- * Recognizes what callers say to the proxy itself.
+ * Parses a statement to the proxy itself, such as `USE` or a `SET` of one of its variables.
  *
- * @returns `undefined` for a statement that goes to an endpoint
+ * @returns `undefined` for a statement that must run on an endpoint
  * @example parseSteering('SET @camphorpitch_max_age_ms = 5000') // { kind: 'setMaxAge', maxAgeMs: 5000 }
  */
 export function parseProxyCommand (text: string): ProxyCommand | undefined {
--- a/packages/proxy/src/session/token.ts
+++ b/packages/proxy/src/session/token.ts
@@ -14,7 +14,7 @@
 })
 
 /**
- * Signs a session's positions so that the caller can carry them to any VM.
+ * Creates a signed token of a session's positions, with which the client can resume the session on any VM.
  *
  * @example signToken(session, secret) // 'v1.eyJ3b3Jrc3BhY2Ui….mB1c…'
  */
@@ -25,7 +25,7 @@
 }
 
 /**
- * Raises the session's positions to those of a token.
+ * Advances the session's positions to those of a token.
  *
  * @throws SessionTokenError for a damaged or forged token, or one of another workspace
  */
