--- a/packages/proxy/src/app.ts
+++ b/packages/proxy/src/app.ts
@@ -170,7 +170,7 @@
 
 async function drainApp (base: Base, fleet: Fleet, { listener, served, metricsServer }: Endings): Promise<void> {
   const { logger, settings, system } = base
-  logger.info('draining', { vm: settings.vm, callers: listener.listCallers().length })
+  logger.info('draining', { vm: settings.vm, callers: listener.listClients().length })
   await fleet.membership.leave()
   await listener.drain(settings.drainLimitMs)
   await Promise.all([served.drain(), fleet.limiter.stop()])
--- a/packages/proxy/src/listener/answers.ts
+++ b/packages/proxy/src/listener/answers.ts
@@ -1,5 +1,5 @@
 import type { Column } from '@camphorpitch/wire'
-import type { CallerSocket } from './caller-socket.ts'
+import type { ClientSocket } from './caller-socket.ts'
 
 const VAR_STRING_TYPE = 253
 const UTF8MB4_GENERAL_CI = 45
@@ -20,7 +20,7 @@
 }
 
 /** Answers `SELECT @camphorpitch_session`. */
-export function sendToken (socket: CallerSocket, token: string): void {
+export function sendToken (socket: ClientSocket, token: string): void {
   socket.sendColumns([tokenColumn])
   socket.sendRows([[Buffer.from(token)]])
   socket.sendEnd(false)
--- a/packages/proxy/src/listener/bad-input.test.ts
+++ b/packages/proxy/src/listener/bad-input.test.ts
@@ -5,7 +5,7 @@
 
 const HEADER_BYTES = 4
 
-async function openSocket (port: number): Promise<Socket> {
+async function openGreetedSocket (port: number): Promise<Socket> {
   const socket = connect(port, '127.0.0.1')
   socket.on('error', () => {})
   await once(socket, 'data')
@@ -26,11 +26,11 @@
   before(async () => { fleet = await startTestFleet({ vms: 1 }) })
   after(async () => { await fleet.stop() })
 
-  async function checkAlive (): Promise<void> {
-    const caller = await fleet.openCaller(0)
-    const [rows] = await caller.query('SELECT 7 AS n')
+  async function checkServing (): Promise<void> {
+    const client = await fleet.openCaller(0)
+    const [rows] = await client.query('SELECT 7 AS n')
     expect(rows).to.deep.equal([{ n: 7 }])
-    await caller.end()
+    await client.end()
   }
 
   async function readErrno (action: Promise<unknown>): Promise<number> {
@@ -40,7 +40,7 @@
   it('closes a connection that answers the greeting with garbage, of any length', async () => {
     let seed = 7
     for (let i = 0; i < 60; i++) {
-      const socket = await openSocket(fleet.apps[0]?.callersPort as number)
+      const socket = await openGreetedSocket(fleet.apps[0]?.callersPort as number)
       const payload = Buffer.alloc(1 + i * 3)
       for (let j = 0; j < payload.length; j++) {
         seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648
@@ -51,14 +51,14 @@
       socket.end(i % 2 === 0 ? framePacket(1, payload) : payload)
       await closed
     }
-    await checkAlive()
+    await checkServing()
   })
 
   it('closes a connection that sends more than a statement may have', async () => {
-    const caller = await fleet.openCaller(0, { maxPacketSize: 64 * 1024 * 1024 })
-    const lost = readErrno(caller.query(`SELECT '${'x'.repeat(17 * 1024 * 1024)}'`))
-    expect(await lost).to.not.equal(0)
-    await checkAlive()
+    const client = await fleet.openCaller(0, { maxPacketSize: 64 * 1024 * 1024 })
+    const pendingErrno = readErrno(client.query(`SELECT '${'x'.repeat(17 * 1024 * 1024)}'`))
+    expect(await pendingErrno).to.not.equal(0)
+    await checkServing()
   })
 
   it('refuses unknown workspaces, databases, character sets and wrong keys by error numbers', async () => {
@@ -70,23 +70,23 @@
   })
 
   it('answers what it does not support and goes on', async () => {
-    const caller = await fleet.openCaller(0)
-    expect(await readErrno(caller.execute('SELECT ?', [1]))).to.equal(1047)
-    expect(await readErrno(caller.query('SELECT 1; SELECT 2'))).to.not.equal(0)
-    expect(await readErrno(caller.query("SET @other = '1'"))).to.equal(5102)
-    expect(await readErrno(caller.query('LOCK TABLES t READ'))).to.equal(5102)
-    expect(await readErrno(caller.query('SELECT FROM'))).to.equal(1064)
-    const [rows] = await caller.query('SELECT 2 AS n')
+    const client = await fleet.openCaller(0)
+    expect(await readErrno(client.execute('SELECT ?', [1]))).to.equal(1047)
+    expect(await readErrno(client.query('SELECT 1; SELECT 2'))).to.not.equal(0)
+    expect(await readErrno(client.query("SET @other = '1'"))).to.equal(5102)
+    expect(await readErrno(client.query('LOCK TABLES t READ'))).to.equal(5102)
+    expect(await readErrno(client.query('SELECT FROM'))).to.equal(1064)
+    const [rows] = await client.query('SELECT 2 AS n')
     expect(rows).to.deep.equal([{ n: 2 }])
-    await caller.end()
+    await client.end()
   })
 
   it('rolls back what a caller that vanishes left open', async () => {
-    const caller = await fleet.openCaller(0)
-    await caller.query('CREATE TABLE IF NOT EXISTS vanished (id INTEGER)')
-    await caller.query('BEGIN')
-    await caller.query('INSERT INTO vanished VALUES (1)')
-    caller.destroy()
+    const client = await fleet.openCaller(0)
+    await client.query('CREATE TABLE IF NOT EXISTS vanished (id INTEGER)')
+    await client.query('BEGIN')
+    await client.query('INSERT INTO vanished VALUES (1)')
+    client.destroy()
     const other = await fleet.openCaller(0)
     await other.query('INSERT INTO vanished VALUES (2)')
     const [rows] = await other.query('SELECT id FROM vanished')
--- a/packages/proxy/src/listener/caller-connection.ts
+++ b/packages/proxy/src/listener/caller-connection.ts
@@ -1,21 +1,21 @@
 import { dispatch, spawn, stop, type ActorSystemRef, type Ref } from 'nact'
 import { formatRefusal, RefusalCode, type Logger, type Refusal } from '@camphorpitch/wire'
 import { createSession, type SessionState } from '../session/state.ts'
-import { CallerSocket, type CallerCommand } from './caller-socket.ts'
+import { ClientSocket, type ClientCommand } from './caller-socket.ts'
 import { abandonTransaction, runCommand, type CommandRunnerOptions } from './command-runner.ts'
-import { CallerGoneError } from './errors.ts'
+import { ClientDisconnectedError } from './errors.ts'
 import type { LoginResult } from './login.ts'
 import type { AuthParameters, ServerConnection } from './server-connection.ts'
 
 /** Silence after an answer that makes it unlikely that the next command is under way. */
-const QUIET_MS = 300
-const QUIET_CHECK_MS = 50
+const MIN_IDLE_MS = 300
+const IDLE_CHECK_INTERVAL_MS = 50
 /** Time for which a draining VM goes on running commands. */
 const DRAIN_GRACE_MS = 3_000
-const stoppingRefusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is being stopped, connect again', retryAfterMs: 0 }
-const UNSUPPORTED_CHARACTER_SET = 1115
+const drainingRefusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is being stopped, connect again', retryAfterMs: 0 }
+const UNKNOWN_CHARACTER_SET_ERRNO = 1115
 
-export interface CallerConnectionOptions {
+export interface ClientConnectionOptions {
   system: ActorSystemRef
   connection: ServerConnection
   connectionId: number
@@ -24,26 +24,26 @@
   runner: CommandRunnerOptions
   checkLogin: (parameters: AuthParameters) => LoginResult
   loginTimeoutMs?: number
-  onClose: (caller: CallerConnection) => void
+  onClose: (client: ClientConnection) => void
 }
 
 /** One caller: an actor runs its commands one by one; the session lives as long as the connection. */
-export class CallerConnection {
-  readonly #options: CallerConnectionOptions
-  readonly #socket: CallerSocket
-  readonly #actor: Ref<CallerCommand>
+export class ClientConnection {
+  readonly #options: ClientConnectionOptions
+  readonly #socket: ClientSocket
+  readonly #actor: Ref<ClientCommand>
   #session: SessionState | undefined
-  #waiting = 0
-  #lastAnswerMs = 0
-  #isRefusing = false
+  #pendingCommands = 0
+  #lastResponseAtMs = 0
+  #isRefusingCommands = false
   #drainTimer: NodeJS.Timeout | undefined
 
-  constructor (options: CallerConnectionOptions) {
+  constructor (options: ClientConnectionOptions) {
     this.#options = options
-    this.#actor = spawn(options.system, (_state: undefined, command: CallerCommand) => this.#handleCommand(command), `caller-${options.connectionId}`, {
+    this.#actor = spawn(options.system, (_state: undefined, command: ClientCommand) => this.#handleCommand(command), `caller-${options.connectionId}`, {
       onCrash: (_message: unknown, error: unknown, context: { resume: symbol }) => this.#handleCrash(error, context)
-    } as never) as Ref<CallerCommand>
-    this.#socket = new CallerSocket({
+    } as never) as Ref<ClientCommand>
+    this.#socket = new ClientSocket({
       connection: options.connection,
       connectionId: options.connectionId,
       loginTimeoutMs: options.loginTimeoutMs,
@@ -60,7 +60,7 @@
 
   /** Whether a command is running or a transaction is open. */
   get isBusy (): boolean {
-    return this.#waiting > 0 || (this.#session !== undefined && this.#session.transaction !== null)
+    return this.#pendingCommands > 0 || (this.#session !== undefined && this.#session.transaction !== null)
   }
 
   /**
@@ -70,8 +70,8 @@
    */
   drain (): void {
     if (this.#drainTimer !== undefined) return
-    this.#drainTimer = setInterval(() => this.#closeQuiet(), QUIET_CHECK_MS)
-    setTimeout(() => { this.#isRefusing = true }, DRAIN_GRACE_MS).unref()
+    this.#drainTimer = setInterval(() => this.#closeIfIdle(), IDLE_CHECK_INTERVAL_MS)
+    setTimeout(() => { this.#isRefusingCommands = true }, DRAIN_GRACE_MS).unref()
   }
 
   destroy (): void {
@@ -79,44 +79,44 @@
   }
 
   #authenticate (parameters: AuthParameters, done: (error: Error | null, refusal?: { code: number, message: string }) => void): void {
-    if (!this.#socket.isUtf8) return done(null, { code: UNSUPPORTED_CHARACTER_SET, message: 'camphorpitch: connect with character set utf8mb4' })
+    if (!this.#socket.isUtf8) return done(null, { code: UNKNOWN_CHARACTER_SET_ERRNO, message: 'camphorpitch: connect with character set utf8mb4' })
     const result = this.#options.checkLogin(parameters)
     if (!result.accepted) return done(null, { code: result.code, message: result.message })
     const sessionId = `${this.#options.vm}/${this.#options.connectionId}`
     this.#session = createSession({ sessionId, workspace: result.workspace, keyId: result.keyId, database: result.database })
-    this.#lastAnswerMs = this.#options.runner.clock.readNow()
+    this.#lastResponseAtMs = this.#options.runner.clock.readNow()
     done(null)
   }
 
-  #receiveCommand (command: CallerCommand): void {
-    this.#waiting += 1
+  #receiveCommand (command: ClientCommand): void {
+    this.#pendingCommands += 1
     dispatch(this.#actor, command)
   }
 
-  async #handleCommand (command: CallerCommand): Promise<undefined> {
+  async #handleCommand (command: ClientCommand): Promise<undefined> {
     try {
       await this.#runCommand(command)
     } catch (error) {
-      if (!(error instanceof CallerGoneError)) throw error
+      if (!(error instanceof ClientDisconnectedError)) throw error
     } finally {
-      this.#waiting -= 1
-      this.#lastAnswerMs = this.#options.runner.clock.readNow()
+      this.#pendingCommands -= 1
+      this.#lastResponseAtMs = this.#options.runner.clock.readNow()
     }
     return undefined
   }
 
-  async #runCommand (command: CallerCommand): Promise<void> {
+  async #runCommand (command: ClientCommand): Promise<void> {
     if (this.#socket.isClosed || this.#session === undefined) return this.#socket.destroy()
-    if (this.#isRefusing && this.#session.transaction === null) {
-      this.#socket.sendError(RefusalCode.notRunRetry, formatRefusal(stoppingRefusal))
+    if (this.#isRefusingCommands && this.#session.transaction === null) {
+      this.#socket.sendError(RefusalCode.notRunRetry, formatRefusal(drainingRefusal))
       return this.#socket.close()
     }
     await runCommand(this.#options.runner, { session: this.#session, socket: this.#socket }, command)
   }
 
-  #closeQuiet (): void {
-    const quietMs = this.#options.runner.clock.readNow() - this.#lastAnswerMs
-    if (!this.isBusy && quietMs >= QUIET_MS) this.#socket.close()
+  #closeIfIdle (): void {
+    const idleMs = this.#options.runner.clock.readNow() - this.#lastResponseAtMs
+    if (!this.isBusy && idleMs >= MIN_IDLE_MS) this.#socket.close()
   }
 
   #handleCrash (error: unknown, context: { resume: symbol }): symbol {
--- a/packages/proxy/src/listener/caller-socket.ts
+++ b/packages/proxy/src/listener/caller-socket.ts
@@ -1,14 +1,14 @@
 import { once } from 'node:events'
 import type { Cell, Column } from '@camphorpitch/wire'
-import { CallerGoneError } from './errors.ts'
+import { ClientDisconnectedError } from './errors.ts'
 import type { AuthCallback, ReceivedPacket, ServerConnection, WrittenColumn } from './server-connection.ts'
 
 /** Largest statement a caller may send, in bytes. */
 export const MAX_STATEMENT_BYTES = 16 * 1024 * 1024
 /** Bytes that a caller may send ahead of an answer, one statement of the largest size and its header included. */
-const MAX_UNANSWERED_BYTES = MAX_STATEMENT_BYTES + 65_536
+const MAX_PENDING_INPUT_BYTES = MAX_STATEMENT_BYTES + 65_536
 const DEFAULT_LOGIN_TIMEOUT_MS = 10_000
-const KEEP_ALIVE_MS = 30_000
+const KEEP_ALIVE_DELAY_MS = 30_000
 
 const SERVER_VERSION = '8.0.0-camphorpitch'
 const UTF8MB4_GENERAL_CI = 45
@@ -30,18 +30,18 @@
 /** Command codes of the MySQL protocol that are handled here. */
 export const CommandCode = { quit: 1, initDb: 2, query: 3, ping: 14, closeStatement: 25, resetConnection: 31 } as const
 
-export interface CallerCommand {
+export interface ClientCommand {
   code: number
   payload: Buffer
 }
 
-export interface CallerSocketOptions {
+export interface ClientSocketOptions {
   connection: ServerConnection
   connectionId: number
   authenticate: AuthCallback
   /** Time in which a caller must have shown its key, in milliseconds. */
   loginTimeoutMs?: number
-  onCommand: (command: CallerCommand) => void
+  onCommand: (command: ClientCommand) => void
   onClose: () => void
 }
 
@@ -49,17 +49,17 @@
 const commandEvents = ['query', 'stmt_prepare', 'stmt_execute', 'quit', 'init_db', 'ping', 'field_list']
 
 /** One caller's connection: bytes in, whole commands out, exact bytes back. */
-export class CallerSocket {
+export class ClientSocket {
   readonly #connection: ServerConnection
-  #unansweredBytes = 0
+  #pendingInputBytes = 0
   #closed = false
 
-  constructor (options: CallerSocketOptions) {
+  constructor (options: ClientSocketOptions) {
     const { connection, loginTimeoutMs = DEFAULT_LOGIN_TIMEOUT_MS } = options
     this.#connection = connection
     connection.stream.setNoDelay(true)
-    connection.stream.setKeepAlive(true, KEEP_ALIVE_MS)
-    this.#checkInput(options)
+    connection.stream.setKeepAlive(true, KEEP_ALIVE_DELAY_MS)
+    this.#handleInput(options)
     connection.on('error', () => this.destroy())
     connection.stream.on('close', () => this.#handleClose(options))
     const loginTimer = setTimeout(() => this.destroy(), loginTimeoutMs)
@@ -74,7 +74,7 @@
       authCallback: (parameters, done) => options.authenticate(parameters, (error, refusal) => {
         clearTimeout(loginTimer)
         done(error, refusal)
-        this.#endReply()
+        this.#finishResponse()
       })
     })
     // Cells are passed on as the endpoint's bytes; latin1 maps each byte to itself.
@@ -94,12 +94,12 @@
   sendOk (values: { affectedRows?: number, insertId?: number | string, inTransaction?: boolean } = {}): void {
     const serverStatus = STATUS_AUTOCOMMIT | (values.inTransaction === true ? STATUS_IN_TRANSACTION : 0)
     this.#write(() => this.#connection.writeOk({ affectedRows: values.affectedRows, insertId: values.insertId, serverStatus }))
-    this.#endReply()
+    this.#finishResponse()
   }
 
   sendError (code: number, message: string): void {
     this.#write(() => this.#connection.writeError({ code, message: message.replace(/[^\x20-\x7e]/g, '?') }))
-    this.#endReply()
+    this.#finishResponse()
   }
 
   sendColumns (columns: readonly Column[]): void {
@@ -114,7 +114,7 @@
 
   sendEnd (inTransaction: boolean): void {
     this.#write(() => this.#connection.writeEof(0, STATUS_AUTOCOMMIT | (inTransaction ? STATUS_IN_TRANSACTION : 0)))
-    this.#endReply()
+    this.#finishResponse()
   }
 
   /**
@@ -124,15 +124,15 @@
    */
   async waitForDrain (): Promise<void> {
     const { stream } = this.#connection
-    if (this.#closed) throw new CallerGoneError('the caller has gone')
+    if (this.#closed) throw new ClientDisconnectedError('the caller has gone')
     if (!stream.writableNeedDrain) return
-    const closed = new AbortController()
-    const gone = once(stream, 'close', { signal: closed.signal }).then(() => { throw new CallerGoneError('the caller has gone') })
+    const waitAbort = new AbortController()
+    const disconnected = once(stream, 'close', { signal: waitAbort.signal }).then(() => { throw new ClientDisconnectedError('the caller has gone') })
     try {
-      await Promise.race([once(stream, 'drain', { signal: closed.signal }), gone])
+      await Promise.race([once(stream, 'drain', { signal: waitAbort.signal }), disconnected])
     } finally {
-      gone.catch(() => {})
-      closed.abort()
+      disconnected.catch(() => {})
+      waitAbort.abort()
     }
   }
 
@@ -156,25 +156,25 @@
     write()
   }
 
-  #endReply (): void {
+  #finishResponse (): void {
     this.#connection.sequenceId = 0
-    this.#unansweredBytes = 0
+    this.#pendingInputBytes = 0
   }
 
-  #handleClose (options: CallerSocketOptions): void {
+  #handleClose (options: ClientSocketOptions): void {
     if (this.#closed) return
     this.#closed = true
     options.onClose()
   }
 
   /** Bounds what a caller may send ahead, and closes the connection where the library's parser throws. */
-  #checkInput (options: CallerSocketOptions): void {
+  #handleInput (options: ClientSocketOptions): void {
     const { stream } = this.#connection
     const parse = stream.listeners('data')[0] as (data: Buffer) => void
     stream.removeListener('data', parse)
     stream.on('data', (data: Buffer) => {
-      this.#unansweredBytes += data.length
-      if (this.#unansweredBytes > MAX_UNANSWERED_BYTES) return this.destroy()
+      this.#pendingInputBytes += data.length
+      if (this.#pendingInputBytes > MAX_PENDING_INPUT_BYTES) return this.destroy()
       try {
         parse(data)
       } catch {
--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -7,7 +7,7 @@
 import type { StatementRouter } from '../statements/statement-router.ts'
 import type { Metrics } from '../telemetry/metrics.ts'
 import { sendToken } from './answers.ts'
-import { CommandCode, MAX_STATEMENT_BYTES, type CallerCommand, type CallerSocket } from './caller-socket.ts'
+import { CommandCode, MAX_STATEMENT_BYTES, type ClientCommand, type ClientSocket } from './caller-socket.ts'
 
 const UNKNOWN_COMMAND_ERRNO = 1047
 
@@ -24,39 +24,39 @@
   createRequestId: () => string
 }
 
-export interface CommandTarget {
+export interface ClientContext {
   session: SessionState
-  socket: CallerSocket
+  socket: ClientSocket
 }
 
 /** Runs one command of a caller from its arrival to the end of its answer. */
-export async function runCommand (options: CommandRunnerOptions, target: CommandTarget, command: CallerCommand): Promise<void> {
-  const { session, socket } = target
+export async function runCommand (options: CommandRunnerOptions, client: ClientContext, command: ClientCommand): Promise<void> {
+  const { session, socket } = client
   if (command.code === CommandCode.closeStatement) return
   if (command.code === CommandCode.quit) return socket.close()
   if (command.code === CommandCode.ping) return socket.sendOk({ inTransaction: session.transaction !== null })
   const verdict = options.checkKey(session)
   if (!verdict.isAllowed) {
-    sendRefusal(options, target, verdict.refusal)
+    sendRefusal(options, client, verdict.refusal)
     if (verdict.closesConnection) socket.close()
     return
   }
   const contract = options.configuration.findContract(session.workspace)
   if (contract === undefined) return socket.close()
-  if (command.code === CommandCode.resetConnection) return resetSession(options, target)
-  const decision = decideRawCommand(options, target, command, contract)
-  if (decision !== undefined) await applyDecision(options, target, decision, contract)
+  if (command.code === CommandCode.resetConnection) return resetSession(options, client)
+  const decision = decideProtocolCommand(options, client, command, contract)
+  if (decision !== undefined) await applyDecision(options, client, decision, contract)
 }
 
-function decideRawCommand (options: CommandRunnerOptions, target: CommandTarget, command: CallerCommand, contract: Contract): CommandDecision | undefined {
-  const { session, socket } = target
+function decideProtocolCommand (options: CommandRunnerOptions, client: ClientContext, command: ClientCommand, contract: Contract): CommandDecision | undefined {
+  const { session, socket } = client
   if (command.code !== CommandCode.query && command.code !== CommandCode.initDb) {
     socket.sendError(UNKNOWN_COMMAND_ERRNO, 'camphorpitch: not run: this command of the protocol is not supported (prepared statements: use text queries)')
     return undefined
   }
   const text = decodeText(command.payload)
   if (text === undefined || command.payload.length > MAX_STATEMENT_BYTES) {
-    sendRefusal(options, target, { kind: 'notRunDenied', reason: text === undefined ? 'the statement is not valid UTF-8' : 'the statement is too large' })
+    sendRefusal(options, client, { kind: 'notRunDenied', reason: text === undefined ? 'the statement is not valid UTF-8' : 'the statement is too large' })
     return undefined
   }
   if (command.code === CommandCode.initDb) return selectDatabase(session, text, contract)
@@ -71,11 +71,11 @@
   }
 }
 
-function resetSession (options: CommandRunnerOptions, target: CommandTarget): void {
-  abandonTransaction(options, target.session)
-  target.session.maxAgeMs = null
-  target.session.writeId = null
-  target.socket.sendOk()
+function resetSession (options: CommandRunnerOptions, client: ClientContext): void {
+  abandonTransaction(options, client.session)
+  client.session.maxAgeMs = null
+  client.session.writeId = null
+  client.socket.sendOk()
 }
 
 /** Rolls back what the caller left open. */
@@ -86,49 +86,49 @@
   options.router.abandon(transaction.vm, transaction.database, transaction.id)
 }
 
-async function applyDecision (options: CommandRunnerOptions, target: CommandTarget, decision: CommandDecision, contract: Contract): Promise<void> {
-  const { socket, session } = target
+async function applyDecision (options: CommandRunnerOptions, client: ClientContext, decision: CommandDecision, contract: Contract): Promise<void> {
+  const { socket, session } = client
   switch (decision.kind) {
     case 'ok': return socket.sendOk({ inTransaction: session.transaction !== null })
     case 'token': return sendToken(socket, decision.token)
-    case 'refuse': return sendRefusal(options, target, decision.refusal)
-    case 'run': return await runStatement(options, target, decision.statement, contract)
+    case 'refuse': return sendRefusal(options, client, decision.refusal)
+    case 'run': return await runStatement(options, client, decision.statement, contract)
   }
 }
 
-async function runStatement (options: CommandRunnerOptions, target: CommandTarget, statement: PlannedStatement, contract: Contract): Promise<void> {
-  const { session } = target
+async function runStatement (options: CommandRunnerOptions, client: ClientContext, statement: PlannedStatement, contract: Contract): Promise<void> {
+  const { session } = client
   const startedMs = options.clock.readNow()
   // Ending a transaction is not counted: refusing it would hold the endpoint's connection.
-  const isCounted = statement.class !== 'commit' && statement.class !== 'rollback'
-  if (isCounted) {
+  const isRateLimited = statement.class !== 'commit' && statement.class !== 'rollback'
+  if (isRateLimited) {
     const admission = await options.limiter.admit(session.workspace, contract.statementTimeoutMs)
-    if (!admission.admitted) return sendRefusal(options, target, { kind: 'notRunRetry', reason: admission.reason, retryAfterMs: admission.retryAfterMs })
+    if (!admission.admitted) return sendRefusal(options, client, { kind: 'notRunRetry', reason: admission.reason, retryAfterMs: admission.retryAfterMs })
   }
   const timeoutMs = Math.max(1, contract.statementTimeoutMs - (options.clock.readNow() - startedMs))
-  const { pinnedVm, ...planned } = statement
-  const request: StatementRequest = { ...planned, requestId: options.createRequestId(), sessionId: session.sessionId, workspace: session.workspace, timeoutMs }
-  await sendAnswer(options, target, statement, request)
+  const { pinnedVm, ...requestFields } = statement
+  const request: StatementRequest = { ...requestFields, requestId: options.createRequestId(), sessionId: session.sessionId, workspace: session.workspace, timeoutMs }
+  await sendResponse(options, client, statement, request)
   const elapsedMs = options.clock.readNow() - startedMs
   options.metrics.statementSeconds.observe({ class: statement.class }, elapsedMs / 1_000)
   options.logger.debug('statement answered', { request: request.requestId, workspace: request.workspace, database: request.database, class: request.class, elapsedMs: Math.round(elapsedMs) })
 }
 
-async function sendAnswer (options: CommandRunnerOptions, target: CommandTarget, statement: PlannedStatement, request: StatementRequest): Promise<void> {
-  const { session, socket } = target
-  let isPositionDue = false
+async function sendResponse (options: CommandRunnerOptions, client: ClientContext, statement: PlannedStatement, request: StatementRequest): Promise<void> {
+  const { session, socket } = client
+  let isPositionMissing = false
   for await (const { vm, frame } of options.router.run(request, statement.pinnedVm)) {
     applyFrame(session, statement, vm, frame)
-    if (frame.kind === 'end') isPositionDue = true
-    if (frame.kind === 'position') isPositionDue = false
-    sendFrame(options, target, frame)
+    if (frame.kind === 'end') isPositionMissing = true
+    if (frame.kind === 'position') isPositionMissing = false
+    sendFrame(options, client, frame)
     if (frame.kind === 'rows') await socket.waitForDrain()
   }
-  if (isPositionDue) handleMissingPosition(session, statement)
+  if (isPositionMissing) handleMissingPosition(session, statement)
 }
 
-function sendFrame (options: CommandRunnerOptions, target: CommandTarget, frame: AnswerFrame): void {
-  const { session, socket } = target
+function sendFrame (options: CommandRunnerOptions, client: ClientContext, frame: AnswerFrame): void {
+  const { session, socket } = client
   const inTransaction = session.transaction !== null
   switch (frame.kind) {
     case 'columns': return socket.sendColumns(frame.columns)
@@ -136,12 +136,12 @@
     case 'end': return socket.sendEnd(inTransaction)
     case 'ok': return socket.sendOk({ affectedRows: frame.affectedRows, insertId: frame.insertId, inTransaction })
     case 'failed': return socket.sendError(frame.errno, frame.message)
-    case 'refused': return sendRefusal(options, target, frame.refusal)
+    case 'refused': return sendRefusal(options, client, frame.refusal)
     default:
   }
 }
 
-function sendRefusal (options: CommandRunnerOptions, target: CommandTarget, refusal: Refusal): void {
-  options.metrics.refusals.inc({ workspace: target.session.workspace, kind: refusal.kind })
-  target.socket.sendError(RefusalCode[refusal.kind], formatRefusal(refusal))
+function sendRefusal (options: CommandRunnerOptions, client: ClientContext, refusal: Refusal): void {
+  options.metrics.refusals.inc({ workspace: client.session.workspace, kind: refusal.kind })
+  client.socket.sendError(RefusalCode[refusal.kind], formatRefusal(refusal))
 }
--- a/packages/proxy/src/listener/errors.ts
+++ b/packages/proxy/src/listener/errors.ts
@@ -2,4 +2,4 @@
 
 export const ListenerError = BaseError.subclass('ListenerError')
 /** The caller's connection ended while something was being written to it. */
-export const CallerGoneError = ListenerError.subclass('CallerGoneError')
+export const ClientDisconnectedError = ListenerError.subclass('CallerGoneError')
--- a/packages/proxy/src/listener/exact-results.test.ts
+++ b/packages/proxy/src/listener/exact-results.test.ts
@@ -11,7 +11,7 @@
 }
 
 /** Reads cells as bytes and keeps the column definitions, so that two answers compare byte by byte. */
-async function readRaw (connection: Connection, sql: string): Promise<RawResult> {
+async function readRawResult (connection: Connection, sql: string): Promise<RawResult> {
   const [rows, fields] = await connection.query({ sql, rowsAsArray: true, typeCast: field => field.buffer() })
   const types = fields.map(f => {
     const { columnType, flags, decimals, columnLength, characterSet } = f as unknown as Record<string, unknown>
@@ -31,44 +31,44 @@
 
 describe('results through the proxy', () => {
   let fleet: TestFleet
-  let direct: Connection
-  let caller: Connection
+  let endpointConnection: Connection
+  let client: Connection
 
   before(async () => {
     fleet = await startTestFleet({ vms: 2 })
-    caller = await fleet.openCaller(1)
-    await caller.query('CREATE TABLE samples (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(20,4), born DATE, seen DATETIME, name VARCHAR(200), data BLOB, ratio DOUBLE, missing TEXT)')
-    await caller.query("INSERT INTO samples VALUES (1, 9223372036854775807, '12345678901234.5678', '2026-02-28', '2026-02-28 23:59:59', 'blåbær 💅', x'00ff0a0d27225c80', 0.1, NULL)")
-    await caller.query("INSERT INTO samples VALUES (2, -9223372036854775808, '-0.0001', '1970-01-01', '0000-01-01 00:00:00', '', x'', -1.7976931348623157e308, NULL)")
-    await caller.query(`INSERT INTO samples (id, data) VALUES (3, x'${'00ff7f80fb01fc'.repeat(100)}')`)
-    direct = await fleet.openDirect(0)
+    client = await fleet.openCaller(1)
+    await client.query('CREATE TABLE samples (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(20,4), born DATE, seen DATETIME, name VARCHAR(200), data BLOB, ratio DOUBLE, missing TEXT)')
+    await client.query("INSERT INTO samples VALUES (1, 9223372036854775807, '12345678901234.5678', '2026-02-28', '2026-02-28 23:59:59', 'blåbær 💅', x'00ff0a0d27225c80', 0.1, NULL)")
+    await client.query("INSERT INTO samples VALUES (2, -9223372036854775808, '-0.0001', '1970-01-01', '0000-01-01 00:00:00', '', x'', -1.7976931348623157e308, NULL)")
+    await client.query(`INSERT INTO samples (id, data) VALUES (3, x'${'00ff7f80fb01fc'.repeat(100)}')`)
+    endpointConnection = await fleet.openDirect(0)
   })
 
   after(async () => {
-    await Promise.all([direct.end(), caller.end()])
+    await Promise.all([endpointConnection.end(), client.end()])
     await fleet.stop()
   })
 
   for (const sql of statements) {
     it(`equal those of a direct connection: ${sql}`, async () => {
-      expect(await readRaw(caller, sql)).to.deep.equal(await readRaw(direct, sql))
+      expect(await readRawResult(client, sql)).to.deep.equal(await readRawResult(endpointConnection, sql))
     })
   }
 
   it('equal those of a direct connection for a 16 MB cell', async () => {
     const sql = `SELECT zeroblob(${LARGE_CELL_BYTES}) AS large, 'after' AS tail`
-    const [through, plain] = [await readRaw(caller, sql), await readRaw(direct, sql)]
-    const cells = through.rows[0] as Buffer[]
+    const [actual, expected] = [await readRawResult(client, sql), await readRawResult(endpointConnection, sql)]
+    const cells = actual.rows[0] as Buffer[]
     expect(cells[0]?.length).to.equal(LARGE_CELL_BYTES)
-    expect(Buffer.compare(cells[0] as Buffer, (plain.rows[0] as Buffer[])[0] as Buffer)).to.equal(0)
+    expect(Buffer.compare(cells[0] as Buffer, (expected.rows[0] as Buffer[])[0] as Buffer)).to.equal(0)
     expect(cells[1]?.toString()).to.equal('after')
   })
 
   it('keep affected rows and insert ids', async () => {
-    await caller.query('CREATE TABLE counted (id INTEGER PRIMARY KEY AUTOINCREMENT, n INTEGER)')
-    const [inserted] = await caller.query('INSERT INTO counted (n) VALUES (1), (2), (3)')
+    await client.query('CREATE TABLE counted (id INTEGER PRIMARY KEY AUTOINCREMENT, n INTEGER)')
+    const [inserted] = await client.query('INSERT INTO counted (n) VALUES (1), (2), (3)')
     expect(inserted).to.include({ affectedRows: 3, insertId: 3 })
-    const [updated] = await caller.query('UPDATE counted SET n = 0 WHERE n > 1')
+    const [updated] = await client.query('UPDATE counted SET n = 0 WHERE n > 1')
     expect(updated).to.include({ affectedRows: 2 })
   })
 })
--- a/packages/proxy/src/listener/login.ts
+++ b/packages/proxy/src/listener/login.ts
@@ -15,7 +15,7 @@
   configuration: ConfigurationView
   /** The id of the key that made `token` from `nonce`; `undefined` when none did. */
   findKey: (workspace: string, nonce: Buffer, token: Buffer) => string | undefined
-  countCallers: (workspace: string) => number
+  countClients: (workspace: string) => number
 }
 
 /** Decides whether a caller may connect: user name is the workspace, password its key. */
@@ -29,7 +29,7 @@
   if (database !== null && contract.databases[database] === undefined) {
     return { accepted: false, code: UNKNOWN_DATABASE_ERRNO, message: `camphorpitch: the contract names no database '${database}'` }
   }
-  if (isFull(options, contract)) return { accepted: false, code: TOO_MANY_CONNECTIONS_ERRNO, message: 'camphorpitch: the workspace has too many connections to this VM' }
+  if (hasReachedConnectionLimit(options, contract)) return { accepted: false, code: TOO_MANY_CONNECTIONS_ERRNO, message: 'camphorpitch: the workspace has too many connections to this VM' }
   return { accepted: true, workspace, keyId, database }
 }
 
@@ -38,8 +38,8 @@
   return options.findKey(parameters.user, nonce, parameters.authToken)
 }
 
-function isFull (options: LoginOptions, contract: Contract): boolean {
-  return options.countCallers(contract.workspace) >= contract.maxConnectionsPerVm
+function hasReachedConnectionLimit (options: LoginOptions, contract: Contract): boolean {
+  return options.countClients(contract.workspace) >= contract.maxConnectionsPerVm
 }
 
 /** The same words for an unknown workspace and a wrong key. */
--- a/packages/proxy/src/listener/stalling-callers.test.ts
+++ b/packages/proxy/src/listener/stalling-callers.test.ts
@@ -14,7 +14,7 @@
 const FRAME_BYTES = 64 * 1024
 /** Far above what socket buffers hold, far below the whole result. */
 const MAX_FRAMES_AHEAD = 1_000
-const SETTLE_MS = 300
+const STALL_MS = 300
 const LOGIN_TIMEOUT_MS = 200
 
 class OpenLimiter extends Limiter {
@@ -23,7 +23,7 @@
 
 const contract: Contract = { workspace: 'kari', rate: { statementsPerSecond: 1, burst: 1 }, open: true, databases: { orders: { access: 'read', defaultMaxAgeMs: 0 } }, statementTimeoutMs: 60_000, maxConnectionsPerVm: 9 }
 
-async function startWith (run: StatementRouter['run']): Promise<{ listener: Listener, end: () => Promise<void> }> {
+async function startListenerWithRouter (run: StatementRouter['run']): Promise<{ listener: Listener, end: () => Promise<void> }> {
   const system = start()
   const configuration = { findContract: () => contract, findFleetSecret: () => undefined } as unknown as Configuration
   const listener = await startListener({
@@ -54,7 +54,7 @@
 
 describe('callers that stall', () => {
   it('are let go when they never log in', async () => {
-    const { listener, end } = await startWith(async function * () {})
+    const { listener, end } = await startListenerWithRouter(async function * () {})
     const socket = connect(listener.port, '127.0.0.1')
     socket.resume()
     await once(socket, 'close')
@@ -62,29 +62,29 @@
   })
 
   it('get no more rows made for them than they take', async () => {
-    let made = 0
+    let generatedFrames = 0
     const cell = Buffer.alloc(FRAME_BYTES, 65)
     async function * run (): AsyncGenerator<RoutedFrame, void, void> {
       const emit = (frame: AnswerFrame): RoutedFrame => ({ vm: 'vm', frame })
       yield emit({ kind: 'columns', columns: [{ name: 'a', orgName: 'a', table: '', orgTable: '', schema: '', catalog: 'def', characterSet: 63, columnLength: 9, columnType: 252, flags: 0, decimals: 0 }] })
-      for (made = 0; made < FRAMES; made++) yield emit({ kind: 'rows', rows: [[cell]] })
+      for (generatedFrames = 0; generatedFrames < FRAMES; generatedFrames++) yield emit({ kind: 'rows', rows: [[cell]] })
       yield emit({ kind: 'end' })
     }
-    const { listener, end } = await startWith(run)
-    const caller = createConnection({ host: '127.0.0.1', port: listener.port, user: 'kari', database: 'orders' })
-    const query = caller.query('SELECT a FROM t')
+    const { listener, end } = await startListenerWithRouter(run)
+    const client = createConnection({ host: '127.0.0.1', port: listener.port, user: 'kari', database: 'orders' })
+    const query = client.query('SELECT a FROM t')
     let rows = 0
     const ended = new Promise<void>(resolve => query.on('end', () => resolve()))
     query.on('result', () => { rows += 1 })
     await new Promise<void>(resolve => query.on('fields', () => resolve()))
-    const socket = (caller as unknown as { stream: NodeJS.ReadableStream }).stream
+    const socket = (client as unknown as { stream: NodeJS.ReadableStream }).stream
     socket.pause()
-    await new Promise(resolve => setTimeout(resolve, SETTLE_MS))
-    expect(made).to.be.lessThan(MAX_FRAMES_AHEAD)
+    await new Promise(resolve => setTimeout(resolve, STALL_MS))
+    expect(generatedFrames).to.be.lessThan(MAX_FRAMES_AHEAD)
     socket.resume()
     await ended
     expect(rows).to.equal(FRAMES)
-    caller.destroy()
+    client.destroy()
     await end()
   })
 })
