--- a/packages/proxy/src/listener/answers.ts
+++ b/packages/proxy/src/listener/answers.ts
@@ -19,7 +19,7 @@
   decimals: 0
 }
 
-/** Answers `SELECT @camphorpitch_session`. */
+/** Sends the result of `SELECT @camphorpitch_session`: one row with the session token. */
 export function sendToken (socket: ClientSocket, token: string): void {
   socket.sendColumns([tokenColumn])
   socket.sendRows([[Buffer.from(token)]])
--- a/packages/proxy/src/listener/bad-input.test.ts
+++ b/packages/proxy/src/listener/bad-input.test.ts
@@ -5,6 +5,7 @@
 
 const HEADER_BYTES = 4
 
+/** Opens a connection and waits for the greeting of the server. */
 async function openGreetedSocket (port: number): Promise<Socket> {
   const socket = connect(port, '127.0.0.1')
   socket.on('error', () => {})
@@ -20,7 +21,7 @@
   return Buffer.concat([header, payload])
 }
 
-describe('bad input from callers', () => {
+describe('listener with invalid input', () => {
   let fleet: TestFleet
 
   before(async () => { fleet = await startTestFleet({ vms: 1 }) })
@@ -37,7 +38,7 @@
     return await action.then(() => 0, (error: { errno: number }) => error.errno)
   }
 
-  it('closes a connection that answers the greeting with garbage, of any length', async () => {
+  it('closes a connection whose client responds to the greeting with random bytes, framed as a packet or not', async () => {
     let seed = 7
     for (let i = 0; i < 60; i++) {
       const socket = await openGreetedSocket(fleet.apps[0]?.callersPort as number)
@@ -54,14 +55,14 @@
     await checkServing()
   })
 
-  it('closes a connection that sends more than a statement may have', async () => {
+  it('closes a connection that sends a statement above the maximum size, and keeps serving', async () => {
     const client = await fleet.openCaller(0, { maxPacketSize: 64 * 1024 * 1024 })
     const pendingErrno = readErrno(client.query(`SELECT '${'x'.repeat(17 * 1024 * 1024)}'`))
     expect(await pendingErrno).to.not.equal(0)
     await checkServing()
   })
 
-  it('refuses unknown workspaces, databases, character sets and wrong keys by error numbers', async () => {
+  it('refuses unknown workspaces, unknown databases, unsupported character sets and wrong keys with MySQL error numbers', async () => {
     expect(await readErrno(fleet.openCaller(0, { user: 'nobody' }))).to.equal(1045)
     expect(await readErrno(fleet.openCaller(0, { password: 'wrong' }))).to.equal(1045)
     expect(await readErrno(fleet.openCaller(0, { password: '' }))).to.equal(1045)
@@ -69,7 +70,7 @@
     expect(await readErrno(fleet.openCaller(0, { charset: 'LATIN1_SWEDISH_CI' }))).to.equal(1115)
   })
 
-  it('answers what it does not support and goes on', async () => {
+  it('responds to unsupported commands with an error and keeps the connection usable', async () => {
     const client = await fleet.openCaller(0)
     expect(await readErrno(client.execute('SELECT ?', [1]))).to.equal(1047)
     expect(await readErrno(client.query('SELECT 1; SELECT 2'))).to.not.equal(0)
@@ -81,7 +82,7 @@
     await client.end()
   })
 
-  it('rolls back what a caller that vanishes left open', async () => {
+  it('rolls back the open transaction of a client that disconnects', async () => {
     const client = await fleet.openCaller(0)
     await client.query('CREATE TABLE IF NOT EXISTS vanished (id INTEGER)')
     await client.query('BEGIN')
--- a/packages/proxy/src/listener/caller-connection.ts
+++ b/packages/proxy/src/listener/caller-connection.ts
@@ -7,10 +7,10 @@
 import type { LoginResult } from './login.ts'
 import type { AuthParameters, ServerConnection } from './server-connection.ts'
 
-/** Silence after an answer that makes it unlikely that the next command is under way. */
+/** Idle time after a response from which the next command is unlikely to be on its way already. */
 const MIN_IDLE_MS = 300
 const IDLE_CHECK_INTERVAL_MS = 50
-/** Time for which a draining VM goes on running commands. */
+/** Time for which a draining VM still runs new commands. */
 const DRAIN_GRACE_MS = 3_000
 const drainingRefusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is being stopped, connect again', retryAfterMs: 0 }
 const UNKNOWN_CHARACTER_SET_ERRNO = 1115
@@ -27,7 +27,7 @@
   onClose: (client: ClientConnection) => void
 }
 
-/** One caller: an actor runs its commands one by one; the session lives as long as the connection. */
+/** The connection of one client. An actor runs its commands one at a time; the session ends with the connection. */
 export class ClientConnection {
   readonly #options: ClientConnectionOptions
   readonly #socket: ClientSocket
@@ -40,7 +40,7 @@
 
   constructor (options: ClientConnectionOptions) {
     this.#options = options
-    this.#actor = spawn(options.system, (_state: undefined, command: ClientCommand) => this.#handleCommand(command), `caller-${options.connectionId}`, {
+    this.#actor = spawn(options.system, (_state: undefined, command: ClientCommand) => this.#handleCommand(command), `client-${options.connectionId}`, {
       onCrash: (_message: unknown, error: unknown, context: { resume: symbol }) => this.#handleCrash(error, context)
     } as never) as Ref<ClientCommand>
     this.#socket = new ClientSocket({
@@ -53,7 +53,7 @@
     })
   }
 
-  /** `undefined` before login. */
+  /** The client's session; `undefined` before login. */
   get session (): SessionState | undefined {
     return this.#session
   }
@@ -64,9 +64,10 @@
   }
 
   /**
-   * Closes in a quiet moment, so that no command meets a closing connection.
+   * Closes the connection once it is idle, so that no command arrives at a closing connection.
    *
-   * A caller that leaves none is refused after a while, which tells it for sure that nothing ran.
+   * If the client keeps sending commands, the first one outside a transaction after `DRAIN_GRACE_MS` is refused
+   * and the connection closed. The refusal tells the client that the command was not run.
    */
   drain (): void {
     if (this.#drainTimer !== undefined) return
@@ -120,7 +121,7 @@
   }
 
   #handleCrash (error: unknown, context: { resume: symbol }): symbol {
-    this.#options.logger.error('command failed', { session: this.#session?.sessionId, error: error instanceof Error ? error.stack : String(error) })
+    this.#options.logger.error('client command failed', { session: this.#session?.sessionId, error: error instanceof Error ? error.stack : String(error) })
     this.#socket.destroy()
     return context.resume
   }
--- a/packages/proxy/src/listener/caller-socket.ts
+++ b/packages/proxy/src/listener/caller-socket.ts
@@ -3,9 +3,9 @@
 import { ClientDisconnectedError } from './errors.ts'
 import type { AuthCallback, ReceivedPacket, ServerConnection, WrittenColumn } from './server-connection.ts'
 
-/** Largest statement a caller may send, in bytes. */
+/** Maximum size of a statement, in bytes. */
 export const MAX_STATEMENT_BYTES = 16 * 1024 * 1024
-/** Bytes that a caller may send ahead of an answer, one statement of the largest size and its header included. */
+/** Maximum number of bytes that a client may send before it has its response: one statement of the maximum size, its header and some room. */
 const MAX_PENDING_INPUT_BYTES = MAX_STATEMENT_BYTES + 65_536
 const DEFAULT_LOGIN_TIMEOUT_MS = 10_000
 const KEEP_ALIVE_DELAY_MS = 30_000
@@ -27,7 +27,7 @@
 } as const
 const CAPABILITY_FLAGS = Object.values(Capability).reduce((a, b) => a | b, 0)
 
-/** Command codes of the MySQL protocol that are handled here. */
+/** Codes of the MySQL commands that the listener handles. */
 export const CommandCode = { quit: 1, initDb: 2, query: 3, ping: 14, closeStatement: 25, resetConnection: 31 } as const
 
 export interface ClientCommand {
@@ -39,16 +39,16 @@
   connection: ServerConnection
   connectionId: number
   authenticate: AuthCallback
-  /** Time in which a caller must have shown its key, in milliseconds. */
+  /** Time within which a client must have logged in, in milliseconds. */
   loginTimeoutMs?: number
   onCommand: (command: ClientCommand) => void
   onClose: () => void
 }
 
-/** Events that `mysql2` answers by itself where nobody listens. */
+/** Events to which `mysql2` responds itself unless there is a listener. */
 const commandEvents = ['query', 'stmt_prepare', 'stmt_execute', 'quit', 'init_db', 'ping', 'field_list']
 
-/** One caller's connection: bytes in, whole commands out, exact bytes back. */
+/** The socket of one client: reads whole commands, and writes responses with the cells exactly as the endpoint sent them. */
 export class ClientSocket {
   readonly #connection: ServerConnection
   #pendingInputBytes = 0
@@ -77,7 +77,7 @@
         this.#finishResponse()
       })
     })
-    // Cells are passed on as the endpoint's bytes; latin1 maps each byte to itself.
+    // Cells are forwarded as the endpoint's bytes. The library encodes strings; latin1 maps each byte to itself.
     connection.serverConfig.encoding = 'latin1'
   }
 
@@ -85,7 +85,7 @@
     return this.#closed
   }
 
-  /** Whether the caller sends UTF-8; other character sets are not converted. */
+  /** Whether the client sends UTF-8; other character sets are not supported, as statements are not converted. */
   get isUtf8 (): boolean {
     const encoding = this.#connection.clientHelloReply?.encoding
     return encoding === 'utf8' || encoding === 'cesu8'
@@ -118,16 +118,16 @@
   }
 
   /**
-   * Resolves when the caller has taken enough of what was written.
+   * Resolves when the write buffer of the socket has room for further rows.
    *
-   * @throws CallerGoneError when the connection ends first
+   * @throws ClientDisconnectedError if the connection ends first
    */
   async waitForDrain (): Promise<void> {
     const { stream } = this.#connection
-    if (this.#closed) throw new ClientDisconnectedError('the caller has gone')
+    if (this.#closed) throw new ClientDisconnectedError('the client has disconnected')
     if (!stream.writableNeedDrain) return
     const waitAbort = new AbortController()
-    const disconnected = once(stream, 'close', { signal: waitAbort.signal }).then(() => { throw new ClientDisconnectedError('the caller has gone') })
+    const disconnected = once(stream, 'close', { signal: waitAbort.signal }).then(() => { throw new ClientDisconnectedError('the client has disconnected') })
     try {
       await Promise.race([once(stream, 'drain', { signal: waitAbort.signal }), disconnected])
     } finally {
@@ -136,16 +136,17 @@
     }
   }
 
-  /** Ends the connection after what was written has been sent. */
+  /** Ends the connection after all written data has been sent. */
   close (): void {
     this.#connection.stream.end()
   }
 
+  /** Ends the connection immediately; data not yet sent is discarded. */
   destroy (): void {
     this.#connection.stream.destroy()
   }
 
-  /** What is written in one turn of the event loop goes out in one system call. */
+  /** Writes to the socket. All writes of one turn of the event loop are sent in one system call. */
   #write (write: () => void): void {
     if (this.#closed) return
     const { stream } = this.#connection
@@ -156,6 +157,7 @@
     write()
   }
 
+  /** Resets the sequence number and the input limit for the next command. */
   #finishResponse (): void {
     this.#connection.sequenceId = 0
     this.#pendingInputBytes = 0
@@ -167,7 +169,7 @@
     options.onClose()
   }
 
-  /** Bounds what a caller may send ahead, and closes the connection where the library's parser throws. */
+  /** Limits how much a client may send before it has its response, and closes the connection if the library's parser throws. */
   #handleInput (options: ClientSocketOptions): void {
     const { stream } = this.#connection
     const parse = stream.listeners('data')[0] as (data: Buffer) => void
--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -18,18 +18,19 @@
   limiter: Limiter
   router: StatementRouter
   metrics: Metrics
-  /** Whether a connected caller may start another statement. */
+  /** Checks whether a connected client may start another statement. */
   checkKey: (session: SessionState) => KeyVerdict
-  /** Names the next request, unique over the fleet. */
+  /** Creates the id of the next request, unique in the fleet. */
   createRequestId: () => string
 }
 
+/** The client whose command is run. */
 export interface ClientContext {
   session: SessionState
   socket: ClientSocket
 }
 
-/** Runs one command of a caller from its arrival to the end of its answer. */
+/** Runs one command of a client from its arrival to the end of its response. */
 export async function runCommand (options: CommandRunnerOptions, client: ClientContext, command: ClientCommand): Promise<void> {
   const { session, socket } = client
   if (command.code === CommandCode.closeStatement) return
@@ -78,7 +79,7 @@
   client.socket.sendOk()
 }
 
-/** Rolls back what the caller left open. */
+/** Rolls back the session's open transaction, if any. */
 export function abandonTransaction (options: CommandRunnerOptions, session: SessionState): void {
   const { transaction } = session
   if (transaction === null) return
@@ -99,7 +100,7 @@
 async function runStatement (options: CommandRunnerOptions, client: ClientContext, statement: PlannedStatement, contract: Contract): Promise<void> {
   const { session } = client
   const startedMs = options.clock.readNow()
-  // Ending a transaction is not counted: refusing it would hold the endpoint's connection.
+  // The end of a transaction is not rate limited: a refused one would keep the endpoint's connection occupied.
   const isRateLimited = statement.class !== 'commit' && statement.class !== 'rollback'
   if (isRateLimited) {
     const admission = await options.limiter.admit(session.workspace, contract.statementTimeoutMs)
@@ -111,7 +112,7 @@
   await sendResponse(options, client, statement, request)
   const elapsedMs = options.clock.readNow() - startedMs
   options.metrics.statementSeconds.observe({ class: statement.class }, elapsedMs / 1_000)
-  options.logger.debug('statement answered', { request: request.requestId, workspace: request.workspace, database: request.database, class: request.class, elapsedMs: Math.round(elapsedMs) })
+  options.logger.debug('statement completed', { request: request.requestId, workspace: request.workspace, database: request.database, class: request.class, elapsedMs: Math.round(elapsedMs) })
 }
 
 async function sendResponse (options: CommandRunnerOptions, client: ClientContext, statement: PlannedStatement, request: StatementRequest): Promise<void> {
--- a/packages/proxy/src/listener/errors.ts
+++ b/packages/proxy/src/listener/errors.ts
@@ -1,5 +1,5 @@
 import { BaseError } from '@camphorpitch/wire'
 
 export const ListenerError = BaseError.subclass('ListenerError')
-/** The caller's connection ended while something was being written to it. */
-export const ClientDisconnectedError = ListenerError.subclass('CallerGoneError')
+/** The client's connection ended while a response was being written to it. */
+export const ClientDisconnectedError = ListenerError.subclass('ClientDisconnectedError')
--- a/packages/proxy/src/listener/exact-results.test.ts
+++ b/packages/proxy/src/listener/exact-results.test.ts
@@ -10,7 +10,7 @@
   rows: unknown[]
 }
 
-/** Reads cells as bytes and keeps the column definitions, so that two answers compare byte by byte. */
+/** Reads cells as bytes and keeps the column definitions, so that two results can be compared exactly. */
 async function readRawResult (connection: Connection, sql: string): Promise<RawResult> {
   const [rows, fields] = await connection.query({ sql, rowsAsArray: true, typeCast: field => field.buffer() })
   const types = fields.map(f => {
@@ -29,7 +29,7 @@
   'SELECT count(*), sum(big), min(amount) FROM samples'
 ]
 
-describe('results through the proxy', () => {
+describe('results of a client of the proxy', () => {
   let fleet: TestFleet
   let endpointConnection: Connection
   let client: Connection
@@ -50,12 +50,12 @@
   })
 
   for (const sql of statements) {
-    it(`equal those of a direct connection: ${sql}`, async () => {
+    it(`equal those of a direct connection to the endpoint: ${sql}`, async () => {
       expect(await readRawResult(client, sql)).to.deep.equal(await readRawResult(endpointConnection, sql))
     })
   }
 
-  it('equal those of a direct connection for a 16 MB cell', async () => {
+  it('equal those of a direct connection to the endpoint for a 16 MB cell', async () => {
     const sql = `SELECT zeroblob(${LARGE_CELL_BYTES}) AS large, 'after' AS tail`
     const [actual, expected] = [await readRawResult(client, sql), await readRawResult(endpointConnection, sql)]
     const cells = actual.rows[0] as Buffer[]
@@ -64,7 +64,7 @@
     expect(cells[1]?.toString()).to.equal('after')
   })
 
-  it('keep affected rows and insert ids', async () => {
+  it('contain the affected rows and the insert id', async () => {
     await client.query('CREATE TABLE counted (id INTEGER PRIMARY KEY AUTOINCREMENT, n INTEGER)')
     const [inserted] = await client.query('INSERT INTO counted (n) VALUES (1), (2), (3)')
     expect(inserted).to.include({ affectedRows: 3, insertId: 3 })
--- a/packages/proxy/src/listener/listener.ts
+++ b/packages/proxy/src/listener/listener.ts
@@ -20,20 +20,20 @@
   logger: Logger
   runner: CommandRunnerOptions
   findKey: LoginOptions['findKey']
-  /** Callers on this VM over all workspaces. */
+  /** Maximum number of client connections to this VM, over all workspaces. */
   maxConnections?: number
-  /** Time in which a caller must have shown its key, in milliseconds. */
+  /** Time within which a client must have logged in, in milliseconds. */
   loginTimeoutMs?: number
 }
 
 export interface Listener {
   port: number
   listClients: () => readonly ClientConnection[]
-  /** Accepts nobody new, lets running commands and open transactions end, then closes all. */
+  /** Accepts no new connections, waits until running commands and open transactions have ended or the timeout is over, then closes all connections. */
   drain: (timeoutMs?: number) => Promise<void>
 }
 
-/** Accepts callers over the MySQL protocol. */
+/** Starts accepting clients over the MySQL protocol. */
 export async function startListener (options: ListenerOptions): Promise<Listener> {
   const clients = new Set<ClientConnection>()
   let nextConnectionId = 1
@@ -77,7 +77,12 @@
   }
 }
 
-/** The library reserves room for prepared statements, half a megabyte at its default size; there are none here. */
+/**
+ * Creates the server side of a client's connection.
+ *
+ * By default, the library allocates half a megabyte per connection for prepared statements, which are not
+ * supported here.
+ */
 function createServerConnection (stream: Socket): ServerConnection {
   const options = { stream, isServer: true, maxPreparedStatements: 1 }
   return createConnection(options as ConnectionOptions) as unknown as ServerConnection
--- a/packages/proxy/src/listener/login.ts
+++ b/packages/proxy/src/listener/login.ts
@@ -13,12 +13,13 @@
 
 export interface LoginOptions {
   configuration: ConfigurationView
-  /** The id of the key that made `token` from `nonce`; `undefined` when none did. */
+  /** Finds the id of the key from which `token` was made with `nonce`; `undefined` if there is none. */
   findKey: (workspace: string, nonce: Buffer, token: Buffer) => string | undefined
+  /** Number of connections that a workspace has to this VM. */
   countClients: (workspace: string) => number
 }
 
-/** Decides whether a caller may connect: user name is the workspace, password its key. */
+/** Decides whether a client may connect. Its user name is the workspace and its password a key of the workspace. */
 export function checkLogin (options: LoginOptions, parameters: AuthParameters): LoginResult {
   const workspace = parameters.user
   const contract = options.configuration.findContract(workspace)
@@ -42,7 +43,7 @@
   return options.countClients(contract.workspace) >= contract.maxConnectionsPerVm
 }
 
-/** The same words for an unknown workspace and a wrong key. */
+/** Uses the same message for an unknown workspace and a wrong key, so that it does not reveal which workspaces exist. */
 function refuseLogin (workspace: string): LoginResult {
   return { accepted: false, code: ACCESS_DENIED_ERRNO, message: `camphorpitch: access denied for workspace '${workspace}'` }
 }
--- a/packages/proxy/src/listener/server-connection.ts
+++ b/packages/proxy/src/listener/server-connection.ts
@@ -42,7 +42,7 @@
   end: number
 }
 
-/** The server side of a `mysql2` connection, as far as it is used here; the library's own types leave it out. */
+/** The server side of a `mysql2` connection, as far as it is used here; the library's types do not include it. */
 export interface ServerConnection extends EventEmitter {
   stream: Socket
   sequenceId: number
--- a/packages/proxy/src/listener/stalling-callers.test.ts
+++ b/packages/proxy/src/listener/stalling-callers.test.ts
@@ -12,7 +12,7 @@
 
 const FRAMES = 4_000
 const FRAME_BYTES = 64 * 1024
-/** Far above what socket buffers hold, far below the whole result. */
+/** Far more than the socket buffers can hold, far fewer than the whole result has. */
 const MAX_FRAMES_AHEAD = 1_000
 const STALL_MS = 300
 const LOGIN_TIMEOUT_MS = 200
@@ -52,8 +52,8 @@
   return { listener, end }
 }
 
-describe('callers that stall', () => {
-  it('are let go when they never log in', async () => {
+describe('clients that stall', () => {
+  it('are disconnected when they do not log in', async () => {
     const { listener, end } = await startListenerWithRouter(async function * () {})
     const socket = connect(listener.port, '127.0.0.1')
     socket.resume()
@@ -61,7 +61,7 @@
     await end()
   })
 
-  it('get no more rows made for them than they take', async () => {
+  it('stop the flow of rows from the router while they do not read', async () => {
     let generatedFrames = 0
     const cell = Buffer.alloc(FRAME_BYTES, 65)
     async function * run (): AsyncGenerator<RoutedFrame, void, void> {
