--- a/packages/proxy/src/app.test.ts
+++ b/packages/proxy/src/app.test.ts
@@ -21,7 +21,7 @@
 
   before(async () => { fleet = await startTestFleet({ vms: VMS }) })
   after(async () => { await fleet.stop() })
-  beforeEach(async () => { callers = await Promise.all(fleet.apps.map(async (_, i) => await fleet.openCaller(i))) })
+  beforeEach(async () => { callers = await Promise.all(fleet.apps.map(async (_, i) => await fleet.openClientConnection(i))) })
   afterEach(() => { for (const c of callers) c.destroy() })
 
   async function changeContract (change: Partial<Contract>): Promise<void> {
@@ -47,21 +47,21 @@
   it('refuses a withdrawn key on every VM and keeps the others, with the object service down right after', async () => {
     await changeKeys([['k1', 'secret'], ['k2', 'other']])
     const others = await Promise.all(fleet.apps.map(async (_, i) => {
-      await waitForErrno(0, async () => await fleet.openCaller(i, { password: 'other' }).then(c => c.destroy()))
-      return await fleet.openCaller(i, { password: 'other' })
+      await waitForErrno(0, async () => await fleet.openClientConnection(i, { password: 'other' }).then(c => c.destroy()))
+      return await fleet.openClientConnection(i, { password: 'other' })
     }))
     await changeKeys([['k2', 'other']])
     await waitForErrno(RefusalCode.notRunDenied, async () => await callers[0]?.query('SELECT 1'))
     fleet.platform.setFaults({ outage: true })
     for (const c of callers.slice(1)) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('SELECT 1'))
-    for (let i = 0; i < VMS; i++) expect(await readErrno(fleet.openCaller(i))).to.equal(1045)
+    for (let i = 0; i < VMS; i++) expect(await readErrno(fleet.openClientConnection(i))).to.equal(1045)
     for (const c of others) {
       expect(await readErrno(c.query('SELECT 1'))).to.equal(0)
       c.destroy()
     }
     fleet.platform.setFaults({ outage: false })
     await changeKeys([['k1', 'secret']])
-    for (let i = 0; i < VMS; i++) await waitForErrno(0, async () => await fleet.openCaller(i).then(c => c.destroy()))
+    for (let i = 0; i < VMS; i++) await waitForErrno(0, async () => await fleet.openClientConnection(i).then(c => c.destroy()))
   })
 
   it('admits no more than rate and burst over all VMs, and refuses at once with the time to come back', async () => {
--- a/packages/proxy/src/listener/bad-input.test.ts
+++ b/packages/proxy/src/listener/bad-input.test.ts
@@ -28,7 +28,7 @@
   after(async () => { await fleet.stop() })
 
   async function checkServing (): Promise<void> {
-    const client = await fleet.openCaller(0)
+    const client = await fleet.openClientConnection(0)
     const [rows] = await client.query('SELECT 7 AS n')
     expect(rows).to.deep.equal([{ n: 7 }])
     await client.end()
@@ -56,22 +56,22 @@
   })
 
   it('closes a connection that sends a statement above the maximum size, and keeps serving', async () => {
-    const client = await fleet.openCaller(0, { maxPacketSize: 64 * 1024 * 1024 })
+    const client = await fleet.openClientConnection(0, { maxPacketSize: 64 * 1024 * 1024 })
     const pendingErrno = readErrno(client.query(`SELECT '${'x'.repeat(17 * 1024 * 1024)}'`))
     expect(await pendingErrno).to.not.equal(0)
     await checkServing()
   })
 
   it('refuses unknown workspaces, unknown databases, unsupported character sets and wrong keys with MySQL error numbers', async () => {
-    expect(await readErrno(fleet.openCaller(0, { user: 'nobody' }))).to.equal(1045)
-    expect(await readErrno(fleet.openCaller(0, { password: 'wrong' }))).to.equal(1045)
-    expect(await readErrno(fleet.openCaller(0, { password: '' }))).to.equal(1045)
-    expect(await readErrno(fleet.openCaller(0, { database: 'stranger' }))).to.equal(1049)
-    expect(await readErrno(fleet.openCaller(0, { charset: 'LATIN1_SWEDISH_CI' }))).to.equal(1115)
+    expect(await readErrno(fleet.openClientConnection(0, { user: 'nobody' }))).to.equal(1045)
+    expect(await readErrno(fleet.openClientConnection(0, { password: 'wrong' }))).to.equal(1045)
+    expect(await readErrno(fleet.openClientConnection(0, { password: '' }))).to.equal(1045)
+    expect(await readErrno(fleet.openClientConnection(0, { database: 'stranger' }))).to.equal(1049)
+    expect(await readErrno(fleet.openClientConnection(0, { charset: 'LATIN1_SWEDISH_CI' }))).to.equal(1115)
   })
 
   it('responds to unsupported commands with an error and keeps the connection usable', async () => {
-    const client = await fleet.openCaller(0)
+    const client = await fleet.openClientConnection(0)
     expect(await readErrno(client.execute('SELECT ?', [1]))).to.equal(1047)
     expect(await readErrno(client.query('SELECT 1; SELECT 2'))).to.not.equal(0)
     expect(await readErrno(client.query("SET @other = '1'"))).to.equal(5102)
@@ -83,12 +83,12 @@
   })
 
   it('rolls back the open transaction of a client that disconnects', async () => {
-    const client = await fleet.openCaller(0)
+    const client = await fleet.openClientConnection(0)
     await client.query('CREATE TABLE IF NOT EXISTS vanished (id INTEGER)')
     await client.query('BEGIN')
     await client.query('INSERT INTO vanished VALUES (1)')
     client.destroy()
-    const other = await fleet.openCaller(0)
+    const other = await fleet.openClientConnection(0)
     await other.query('INSERT INTO vanished VALUES (2)')
     const [rows] = await other.query('SELECT id FROM vanished')
     expect(rows).to.deep.equal([{ id: 2 }])
--- a/packages/proxy/src/listener/exact-results.test.ts
+++ b/packages/proxy/src/listener/exact-results.test.ts
@@ -36,12 +36,12 @@
 
   before(async () => {
     fleet = await startTestFleet({ vms: 2 })
-    client = await fleet.openCaller(1)
+    client = await fleet.openClientConnection(1)
     await client.query('CREATE TABLE samples (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(20,4), born DATE, seen DATETIME, name VARCHAR(200), data BLOB, ratio DOUBLE, missing TEXT)')
     await client.query("INSERT INTO samples VALUES (1, 9223372036854775807, '12345678901234.5678', '2026-02-28', '2026-02-28 23:59:59', 'blåbær 💅', x'00ff0a0d27225c80', 0.1, NULL)")
     await client.query("INSERT INTO samples VALUES (2, -9223372036854775808, '-0.0001', '1970-01-01', '0000-01-01 00:00:00', '', x'', -1.7976931348623157e308, NULL)")
     await client.query(`INSERT INTO samples (id, data) VALUES (3, x'${'00ff7f80fb01fc'.repeat(100)}')`)
-    endpointConnection = await fleet.openDirect(0)
+    endpointConnection = await fleet.openEndpointConnection(0)
   })
 
   after(async () => {
--- a/packages/proxy/src/telemetry/metrics.ts
+++ b/packages/proxy/src/telemetry/metrics.ts
@@ -71,10 +71,10 @@
   server.listen(port, host)
   await once(server, 'listening')
   const address = server.address() as AddressInfo
-  return { port: address.port, stop: async () => await closeServer(server) }
+  return { port: address.port, stop: async () => await stopServer(server) }
 }
 
-async function closeServer (server: Server): Promise<void> {
+async function stopServer (server: Server): Promise<void> {
   server.closeAllConnections()
   await new Promise<void>(resolve => server.close(() => resolve()))
 }
--- a/packages/proxy/src/testing/test-fleet.ts
+++ b/packages/proxy/src/testing/test-fleet.ts
@@ -6,8 +6,8 @@
 
 const HOST = '127.0.0.1'
 const SESSION_KEY = 'ab'.repeat(32)
-const CONNECT_ATTEMPTS = 500
-const ATTEMPT_PAUSE_MS = 20
+const MAX_RETRIES = 500
+const RETRY_DELAY_MS = 20
 
 export interface TestFleetOptions {
   vms?: number
@@ -21,19 +21,19 @@
   objectClient: ObjectClient
   endpoints: RunningEndpoint[]
   apps: ProxyApp[]
-  openCaller: (vm: number, options?: Record<string, unknown>) => Promise<Connection>
-  openDirect: (endpoint: number, options?: Record<string, unknown>) => Promise<Connection>
+  openClientConnection: (vm: number, options?: Record<string, unknown>) => Promise<Connection>
+  openEndpointConnection: (endpoint: number, options?: Record<string, unknown>) => Promise<Connection>
   stop: () => Promise<void>
 }
 
-async function writeConfiguration (client: ObjectClient, endpoints: RunningEndpoint[], contract: Partial<Contract>): Promise<void> {
-  await client.writeObject('fleet-secret', 'session', 0, { sessionKeys: [SESSION_KEY] })
-  await client.writeObject('database', 'orders', 0, {
+async function writeConfiguration (objectClient: ObjectClient, endpoints: RunningEndpoint[], contract: Partial<Contract>): Promise<void> {
+  await objectClient.writeObject('fleet-secret', 'session', 0, { sessionKeys: [SESSION_KEY] })
+  await objectClient.writeObject('database', 'orders', 0, {
     database: 'orders',
     endpoints: endpoints.map((e, i) => ({ endpoint: e.instance, host: e.host, port: e.port, failureDomain: `domain-${i}` }))
   })
-  await client.writeObject('contract', 'kari', 0, { workspace: 'kari', rate: { statementsPerSecond: 5_000, burst: 1_000 }, databases: { orders: {} }, ...contract })
-  await client.writeObject('key-ring', 'kari', 0, { workspace: 'kari', keys: [{ id: 'k1', digest: computeKeyDigest('secret'), grantedAt: '2026-01-01T00:00:00Z' }] })
+  await objectClient.writeObject('contract', 'kari', 0, { workspace: 'kari', rate: { statementsPerSecond: 5_000, burst: 1_000 }, databases: { orders: {} }, ...contract })
+  await objectClient.writeObject('key-ring', 'kari', 0, { workspace: 'kari', keys: [{ id: 'k1', digest: computeKeyDigest('secret'), grantedAt: '2026-01-01T00:00:00Z' }] })
 }
 
 async function startTestApp (platform: RunningPlatform, index: number): Promise<ProxyApp> {
@@ -41,19 +41,19 @@
   const vm = `vm-${index}`
   const settings = proxySettingsSchema.parse({ vm, failureDomain: `domain-${index}`, callers: address, peers: address, platform: platform.url, logLevel: 'silent' })
   const app = await startApp(settings, createLogger({ process: vm, level: process.env.CAMPHORPITCH_TEST_LOG === undefined ? 'silent' : 'debug' }))
-  const listed = { vm, host: HOST, peerPort: app.peerPort, failureDomain: settings.failureDomain, state: 'live' }
-  await fetch(`${platform.controlUrl}/vms/${vm}`, { method: 'PUT', headers: { 'content-type': 'application/json' }, body: JSON.stringify(listed) })
+  const listedVm = { vm, host: HOST, peerPort: app.peerPort, failureDomain: settings.failureDomain, state: 'live' }
+  await fetch(`${platform.controlUrl}/vms/${vm}`, { method: 'PUT', headers: { 'content-type': 'application/json' }, body: JSON.stringify(listedVm) })
   return app
 }
 
 /** Retries `action` until it succeeds; @throws its last error */
-export async function retryUntilDone<T> (action: () => Promise<T>): Promise<T> {
+export async function retryUntilSuccess<T> (action: () => Promise<T>): Promise<T> {
   for (let i = 0; ; i++) {
     try {
       return await action()
     } catch (error) {
-      if (i >= CONNECT_ATTEMPTS) throw error
-      await new Promise(resolve => setTimeout(resolve, ATTEMPT_PAUSE_MS))
+      if (i >= MAX_RETRIES) throw error
+      await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS))
     }
   }
 }
@@ -66,15 +66,15 @@
   await writeConfiguration(objectClient, endpoints, contract)
   const apps: ProxyApp[] = []
   for (let i = 0; i < vms; i++) apps.push(await startTestApp(platform, i))
-  const openCaller = async (vm: number, options = {}) => await openConnection({ port: apps[vm]?.callersPort, user: 'kari', password: 'secret', database: 'orders', ...options })
-  for (let i = 0; i < vms; i++) await waitUntilServing(() => openCaller(i))
+  const openClientConnection = async (vm: number, options = {}) => await openConnection({ port: apps[vm]?.callersPort, user: 'kari', password: 'secret', database: 'orders', ...options })
+  for (let i = 0; i < vms; i++) await waitUntilServing(() => openClientConnection(i))
   return {
     platform,
     objectClient,
     endpoints,
     apps,
-    openCaller,
-    openDirect: async (index, options = {}) => await openConnection({ port: endpoints[index]?.port, user: 'camphorpitch', password: '', ...options }),
+    openClientConnection,
+    openEndpointConnection: async (index, options = {}) => await openConnection({ port: endpoints[index]?.port, user: 'camphorpitch', password: '', ...options }),
     stop: async () => {
       await Promise.all(apps.map(async a => await a.drain()))
       await Promise.all(endpoints.map(async e => await e.stop()))
@@ -90,7 +90,7 @@
 }
 
 async function waitUntilServing (open: () => Promise<Connection>): Promise<void> {
-  const caller = await retryUntilDone(open)
-  await retryUntilDone(async () => await caller.query('SELECT 1'))
-  await caller.end()
+  const client = await retryUntilSuccess(open)
+  await retryUntilSuccess(async () => await client.query('SELECT 1'))
+  await client.end()
 }
