--- a/packages/proxy/src/telemetry/metrics.ts
+++ b/packages/proxy/src/telemetry/metrics.ts
@@ -16,7 +16,7 @@
   outage: Gauge<'database'>
 }
 
-/** Creates the metrics with a registry of their own. */
+/** Creates the metrics of a VM in a new registry, with the default metrics of the process. */
 export function createMetrics (): Metrics {
   const registry = new Registry()
   collectDefaultMetrics({ register: registry })
@@ -51,6 +51,7 @@
   }
 }
 
+/** A running metrics server. */
 export interface MetricsServer {
   port: number
   stop: () => Promise<void>
--- a/packages/proxy/src/testing/test-fleet.ts
+++ b/packages/proxy/src/testing/test-fleet.ts
@@ -15,13 +15,19 @@
   contract?: Partial<Contract>
 }
 
-/** A platform, one database group and proxies in this process, with one workspace `kari` whose key is `secret`. */
+/**
+ * A running fleet in this process: a platform, one database group and the proxies.
+ *
+ * It has one workspace, `kari`, with the key `secret` and access to the database `orders`.
+ */
 export interface TestFleet {
   platform: RunningPlatform
   objectClient: ObjectClient
   endpoints: RunningEndpoint[]
   apps: ProxyApp[]
+  /** Connects to the proxy with index `vm`. */
   openClientConnection: (vm: number, options?: Record<string, unknown>) => Promise<Connection>
+  /** Connects directly to the endpoint with index `endpoint`. */
   openEndpointConnection: (endpoint: number, options?: Record<string, unknown>) => Promise<Connection>
   stop: () => Promise<void>
 }
@@ -46,7 +52,11 @@
   return app
 }
 
-/** Retries `action` until it succeeds; @throws its last error */
+/**
+ * Retries `action` until it succeeds, at most `MAX_RETRIES` times.
+ *
+ * @throws the error of the last attempt
+ */
 export async function retryUntilSuccess<T> (action: () => Promise<T>): Promise<T> {
   for (let i = 0; ; i++) {
     try {
