--- a/packages/proxy/src/app.test.ts
+++ b/packages/proxy/src/app.test.ts
@@ -5,24 +5,24 @@
 
 const VMS = 3
 const LIMITED_RATE = { statementsPerSecond: 20, burst: 10 }
-const MEASURED_MS = 3_000
+const MEASUREMENT_MS = 3_000
 
 async function readErrno (action: Promise<unknown>): Promise<number> {
   return await action.then(() => 0, (error: { errno: number }) => error.errno)
 }
 
-async function waitForErrno (wanted: number, action: () => Promise<unknown>): Promise<void> {
-  while (await readErrno(action()) !== wanted) await new Promise(resolve => setTimeout(resolve, 20))
+async function waitForErrno (expected: number, action: () => Promise<unknown>): Promise<void> {
+  while (await readErrno(action()) !== expected) await new Promise(resolve => setTimeout(resolve, 20))
 }
 
 describe('a fleet of proxies', () => {
   let fleet: TestFleet
-  let callers: Connection[]
+  let clients: Connection[]
 
   before(async () => { fleet = await startTestFleet({ vms: VMS }) })
   after(async () => { await fleet.stop() })
-  beforeEach(async () => { callers = await Promise.all(fleet.apps.map(async (_, i) => await fleet.openClientConnection(i))) })
-  afterEach(() => { for (const c of callers) c.destroy() })
+  beforeEach(async () => { clients = await Promise.all(fleet.apps.map(async (_, i) => await fleet.openClientConnection(i))) })
+  afterEach(() => { for (const c of clients) c.destroy() })
 
   async function changeContract (change: Partial<Contract>): Promise<void> {
     const stored = await fleet.objectClient.readObject('contract', 'kari')
@@ -37,11 +37,11 @@
   }
 
   it('puts a changed contract in force on every VM, also for connected callers', async () => {
-    await callers[0]?.query('CREATE TABLE changed (id INTEGER)')
+    await clients[0]?.query('CREATE TABLE changed (id INTEGER)')
     await changeContract({ databases: { orders: { access: 'read', defaultMaxAgeMs: 0 } } })
-    for (const c of callers) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('INSERT INTO changed VALUES (1)'))
+    for (const c of clients) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('INSERT INTO changed VALUES (1)'))
     await changeContract({ databases: { orders: { access: 'read-write', defaultMaxAgeMs: 0 } } })
-    for (const c of callers) await waitForErrno(0, async () => await c.query('INSERT INTO changed VALUES (1)'))
+    for (const c of clients) await waitForErrno(0, async () => await c.query('INSERT INTO changed VALUES (1)'))
   })
 
   it('refuses a withdrawn key on every VM and keeps the others, with the object service down right after', async () => {
@@ -51,9 +51,9 @@
       return await fleet.openClientConnection(i, { password: 'other' })
     }))
     await changeKeys([['k2', 'other']])
-    await waitForErrno(RefusalCode.notRunDenied, async () => await callers[0]?.query('SELECT 1'))
+    await waitForErrno(RefusalCode.notRunDenied, async () => await clients[0]?.query('SELECT 1'))
     fleet.platform.setFaults({ outage: true })
-    for (const c of callers.slice(1)) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('SELECT 1'))
+    for (const c of clients.slice(1)) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('SELECT 1'))
     for (let i = 0; i < VMS; i++) expect(await readErrno(fleet.openClientConnection(i))).to.equal(1045)
     for (const c of others) {
       expect(await readErrno(c.query('SELECT 1'))).to.equal(0)
@@ -67,20 +67,20 @@
   it('admits no more than rate and burst over all VMs, and refuses at once with the time to come back', async () => {
     await changeContract({ rate: LIMITED_RATE })
     await waitForErrno(RefusalCode.notRunRetry, async () => {
-      const errnos = await Promise.all(Array.from({ length: 30 }, async (_, i) => await readErrno(callers[i % VMS]!.query('SELECT 1'))))
+      const errnos = await Promise.all(Array.from({ length: 30 }, async (_, i) => await readErrno(clients[i % VMS]!.query('SELECT 1'))))
       if (errnos.includes(RefusalCode.notRunRetry)) throw Object.assign(new Error(), { errno: RefusalCode.notRunRetry })
     })
-    const startedMs = performance.now()
+    const startedAtMs = performance.now()
     let admitted = 0
     const refusals: string[] = []
-    await Promise.all(callers.map(async c => {
-      while (performance.now() - startedMs < MEASURED_MS) {
+    await Promise.all(clients.map(async c => {
+      while (performance.now() - startedAtMs < MEASUREMENT_MS) {
         await c.query('SELECT 1').then(() => { admitted += 1 }, (error: Error) => refusals.push(error.message))
         await new Promise(resolve => setTimeout(resolve, 5))
       }
     }))
-    const elapsedS = (performance.now() - startedMs) / 1_000
-    expect(admitted).to.be.at.most(LIMITED_RATE.statementsPerSecond * elapsedS + LIMITED_RATE.burst)
+    const elapsedSeconds = (performance.now() - startedAtMs) / 1_000
+    expect(admitted).to.be.at.most(LIMITED_RATE.statementsPerSecond * elapsedSeconds + LIMITED_RATE.burst)
     expect(admitted).to.be.greaterThan(0)
     expect(refusals.length).to.be.greaterThan(0)
     for (const r of refusals) expect(r).to.match(/not run: .*; retry after \d+ ms$/)
--- a/packages/proxy/src/app.ts
+++ b/packages/proxy/src/app.ts
@@ -29,7 +29,7 @@
   drain: () => Promise<void>
 }
 
-interface Base {
+interface AppContext {
   settings: ProxySettings
   logger: Logger
   clock: Clock
@@ -39,7 +39,7 @@
   self: Hello
 }
 
-interface Fleet {
+interface FleetSlices {
   peers: WsPeerNetwork
   peerPort: number
   membership: RunningMembership
@@ -50,23 +50,23 @@
 
 /** Starts every slice of a VM and wires them to each other. */
 export async function startApp (settings: ProxySettings, logger: Logger): Promise<ProxyApp> {
-  const base = createBase(settings, logger)
-  const fleet = await startFleetSlices(base)
+  const context = createContext(settings, logger)
+  const slices = await startFleetSlices(context)
   // Without a view of the fleet this VM would hold itself for the only one and open connections to every group.
-  await fleet.membership.waitJoined()
-  await fleet.configuration.waitUntilReady()
-  const { served, router } = startStatements(base, fleet)
-  const listener = await startCallers(base, fleet, router)
-  const metricsServer = await startMetricsServer(base.metrics, settings.metrics.host, settings.metrics.port)
+  await slices.membership.waitJoined()
+  await slices.configuration.waitUntilReady()
+  const { servedDatabases, router } = startStatementRouting(context, slices)
+  const listener = await startClientListener(context, slices, router)
+  const metricsServer = await startMetricsServer(context.metrics, settings.metrics.host, settings.metrics.port)
   return {
     callersPort: listener.port,
-    peerPort: fleet.peerPort,
+    peerPort: slices.peerPort,
     metricsPort: metricsServer.port,
-    drain: async () => await drainApp(base, fleet, { listener, served, metricsServer })
+    drain: async () => await drainApp(context, slices, { listener, servedDatabases, metricsServer })
   }
 }
 
-function createBase (settings: ProxySettings, logger: Logger): Base {
+function createContext (settings: ProxySettings, logger: Logger): AppContext {
   // Unique to this run even where the wall clock was set back: peers compare it only with earlier runs of the same VM.
   const incarnation = Date.now()
   return {
@@ -80,8 +80,8 @@
   }
 }
 
-async function startFleetSlices (base: Base): Promise<Fleet> {
-  const { settings, logger, clock, system, metrics, objectClient, self } = base
+async function startFleetSlices (context: AppContext): Promise<FleetSlices> {
+  const { settings, logger, clock, system, metrics, objectClient, self } = context
   let findMember: (vm: string) => Member | undefined = () => undefined
   const findAddress = (vm: string) => {
     const member = findMember(vm)
@@ -92,7 +92,7 @@
   const member = { vm: settings.vm, host: settings.peers.host, peerPort, failureDomain: settings.failureDomain, region: settings.region, incarnation: self.incarnation }
   const membership = startMembership({ system, clock, logger, peers, objectClient, self: member, seed: self.incarnation })
   findMember = vm => membership.findMember(vm)
-  closeLinksOfDead(membership, peers)
+  closeLinksOfRemovedVms(membership, peers)
   const configuration = startConfiguration({ system, clock, logger, objectClient, peers, membership })
   addConfigurationMetrics(metrics.registry, () => configuration.readReport())
   const placement = createPlacement({ membership, configuration, self: member, logger })
@@ -101,22 +101,22 @@
 }
 
 /** A dead VM's links may stay half-open; whoever waits on them is told at once. */
-function closeLinksOfDead (membership: RunningMembership, peers: WsPeerNetwork): void {
-  let known = new Set<string>()
+function closeLinksOfRemovedVms (membership: RunningMembership, peers: WsPeerNetwork): void {
+  let knownVms = new Set<string>()
   membership.subscribe(() => {
-    const current = new Set(membership.listMembers().map(m => m.vm))
-    for (const vm of known) {
-      if (!current.has(vm)) peers.closeLinks(vm)
+    const currentVms = new Set(membership.listMembers().map(m => m.vm))
+    for (const vm of knownVms) {
+      if (!currentVms.has(vm)) peers.closeLinks(vm)
     }
-    known = current
+    knownVms = currentVms
   })
 }
 
-function startStatements (base: Base, fleet: Fleet): { served: ServedDatabases, router: StatementRouter } {
-  const { settings, logger, clock } = base
-  const { peers, placement, configuration } = fleet
-  const served = new ServedDatabases({ configuration, placement, logger, startService: d => startService(base, fleet, d) })
-  const findService: FindService = (database, transactionId) => served.findService(database, transactionId)
+function startStatementRouting (context: AppContext, slices: FleetSlices): { servedDatabases: ServedDatabases, router: StatementRouter } {
+  const { settings, logger, clock } = context
+  const { peers, placement, configuration } = slices
+  const servedDatabases = new ServedDatabases({ configuration, placement, logger, startService: d => startService(context, slices, d) })
+  const findService: FindService = (database, transactionId) => servedDatabases.findService(database, transactionId)
   const remote = new RemoteStatements(peers)
   const server = new StatementServer({ peers, logger, findService })
   peers.subscribe(STATEMENTS_SLICE, (from, body) => {
@@ -125,22 +125,22 @@
     else if (message.type === 'frame') remote.handleFrame(from.vm, message)
     else server.handleMessage(from.vm, message)
   })
-  served.updateServices()
-  return { served, router: createStatementRouter({ self: settings.vm, clock, logger, placement, remote, findService }) }
+  servedDatabases.updateServices()
+  return { servedDatabases, router: createStatementRouter({ self: settings.vm, clock, logger, placement, remote, findService }) }
 }
 
-function startService (base: Base, fleet: Fleet, database: Database): DatabaseService {
-  const { settings, logger, clock, system, metrics, self } = base
-  const { placement } = fleet
+function startService (context: AppContext, slices: FleetSlices, database: Database): DatabaseService {
+  const { settings, logger, clock, system, metrics, self } = context
+  const { placement } = slices
   const readRank = () => placement.listRanking(database.database).indexOf(settings.vm)
   const group = startGroupView({ system, clock, logger, database, vm: settings.vm, incarnation: self.incarnation, readRank, metrics })
   return startDatabaseService({ database, group, placement, system, clock, logger, failureDomain: settings.failureDomain })
 }
 
-async function startCallers (base: Base, fleet: Fleet, router: StatementRouter): Promise<Listener> {
-  const { settings, logger, clock, system, metrics, self } = base
-  const { configuration, limiter } = fleet
-  let requests = 0
+async function startClientListener (context: AppContext, slices: FleetSlices, router: StatementRouter): Promise<Listener> {
+  const { settings, logger, clock, system, metrics, self } = context
+  const { configuration, limiter } = slices
+  let requestCount = 0
   return await startListener({
     host: settings.callers.host,
     port: settings.callers.port,
@@ -157,26 +157,26 @@
       router,
       metrics,
       checkKey: session => checkKeyUse(configuration, session),
-      createRequestId: () => `${settings.vm}.${self.incarnation}.${++requests}`
+      createRequestId: () => `${settings.vm}.${self.incarnation}.${++requestCount}`
     }
   })
 }
 
-interface Endings {
+interface DrainTargets {
   listener: Listener
-  served: ServedDatabases
+  servedDatabases: ServedDatabases
   metricsServer: MetricsServer
 }
 
-async function drainApp (base: Base, fleet: Fleet, { listener, served, metricsServer }: Endings): Promise<void> {
-  const { logger, settings, system } = base
+async function drainApp (context: AppContext, slices: FleetSlices, { listener, servedDatabases, metricsServer }: DrainTargets): Promise<void> {
+  const { logger, settings, system } = context
   logger.info('draining', { vm: settings.vm, callers: listener.listClients().length })
-  await fleet.membership.leave()
+  await slices.membership.leave()
   await listener.drain(settings.drainLimitMs)
-  await Promise.all([served.drain(), fleet.limiter.stop()])
-  fleet.configuration.stop()
-  fleet.membership.stop()
-  await Promise.all([fleet.peers.stop(), metricsServer.stop()])
+  await Promise.all([servedDatabases.drain(), slices.limiter.stop()])
+  slices.configuration.stop()
+  slices.membership.stop()
+  await Promise.all([slices.peers.stop(), metricsServer.stop()])
   stop(system)
   logger.info('stopped', { vm: settings.vm })
 }
