--- a/packages/proxy/src/app.test.ts
+++ b/packages/proxy/src/app.test.ts
@@ -36,7 +36,7 @@
     await fleet.objectClient.writeObject('key-ring', 'kari', stored.version, { ...ring, keys: keys.map(([id, key]) => ({ id, digest: computeKeyDigest(key), grantedAt, note: '' })) })
   }
 
-  it('puts a changed contract in force on every VM, also for connected callers', async () => {
+  it('applies a changed contract on every VM, also to connected clients', async () => {
     await clients[0]?.query('CREATE TABLE changed (id INTEGER)')
     await changeContract({ databases: { orders: { access: 'read', defaultMaxAgeMs: 0 } } })
     for (const c of clients) await waitForErrno(RefusalCode.notRunDenied, async () => await c.query('INSERT INTO changed VALUES (1)'))
@@ -44,7 +44,7 @@
     for (const c of clients) await waitForErrno(0, async () => await c.query('INSERT INTO changed VALUES (1)'))
   })
 
-  it('refuses a withdrawn key on every VM and keeps the others, with the object service down right after', async () => {
+  it('refuses a withdrawn key on every VM and accepts the others, with an outage of the object service right after the withdrawal', async () => {
     await changeKeys([['k1', 'secret'], ['k2', 'other']])
     const others = await Promise.all(fleet.apps.map(async (_, i) => {
       await waitForErrno(0, async () => await fleet.openClientConnection(i, { password: 'other' }).then(c => c.destroy()))
@@ -64,7 +64,7 @@
     for (let i = 0; i < VMS; i++) await waitForErrno(0, async () => await fleet.openClientConnection(i).then(c => c.destroy()))
   })
 
-  it('admits no more than rate and burst over all VMs, and refuses at once with the time to come back', async () => {
+  it('admits no more than rate and burst over all VMs, and refuses other statements with a retry time', async () => {
     await changeContract({ rate: LIMITED_RATE })
     await waitForErrno(RefusalCode.notRunRetry, async () => {
       const errnos = await Promise.all(Array.from({ length: 30 }, async (_, i) => await readErrno(clients[i % VMS]!.query('SELECT 1'))))
@@ -87,7 +87,7 @@
     await changeContract({ rate: { statementsPerSecond: 5_000, burst: 1_000 } })
   })
 
-  it('lets no endpoint see a caller\'s key', () => {
+  it('sends no key of a client to an endpoint', () => {
     for (const e of fleet.endpoints) expect(e.record.countBytes('secret')).to.deep.equal({ count: 0, complete: true })
   })
 })
--- a/packages/proxy/src/app.ts
+++ b/packages/proxy/src/app.ts
@@ -25,10 +25,11 @@
   callersPort: number
   peerPort: number
   metricsPort: number
-  /** Ends without cutting a running statement or open transaction. */
+  /** Stops the proxy once running statements and open transactions have ended, or the drain limit of the settings is over. */
   drain: () => Promise<void>
 }
 
+/** What every slice of the VM needs. */
 interface AppContext {
   settings: ProxySettings
   logger: Logger
@@ -39,6 +40,7 @@
   self: Hello
 }
 
+/** The slices that connect this VM with the rest of the fleet. */
 interface FleetSlices {
   peers: WsPeerNetwork
   peerPort: number
@@ -48,11 +50,11 @@
   limiter: RunningLimiter
 }
 
-/** Starts every slice of a VM and wires them to each other. */
+/** Starts the slices of a VM and connects them. Resolves once the VM serves clients. */
 export async function startApp (settings: ProxySettings, logger: Logger): Promise<ProxyApp> {
   const context = createContext(settings, logger)
   const slices = await startFleetSlices(context)
-  // Without a view of the fleet this VM would hold itself for the only one and open connections to every group.
+  // Without the list of members, this VM would consider itself the only one and open connections to every group.
   await slices.membership.waitJoined()
   await slices.configuration.waitUntilReady()
   const { servedDatabases, router } = startStatementRouting(context, slices)
@@ -67,7 +69,7 @@
 }
 
 function createContext (settings: ProxySettings, logger: Logger): AppContext {
-  // Unique to this run even where the wall clock was set back: peers compare it only with earlier runs of the same VM.
+  // Peers compare it only with earlier runs of the same VM, from which it differs even if the wall clock was set back.
   const incarnation = Date.now()
   return {
     settings,
@@ -100,7 +102,11 @@
   return { peers, peerPort, membership, configuration, placement, limiter }
 }
 
-/** A dead VM's links may stay half-open; whoever waits on them is told at once. */
+/**
+ * Closes the links to VMs that are no longer members.
+ *
+ * The links of a dead VM may stay half-open. Closing them immediately notifies the slices that wait for a response on them.
+ */
 function closeLinksOfRemovedVms (membership: RunningMembership, peers: WsPeerNetwork): void {
   let knownVms = new Set<string>()
   membership.subscribe(() => {
@@ -162,6 +168,7 @@
   })
 }
 
+/** What `drainApp` stops besides the fleet slices. */
 interface DrainTargets {
   listener: Listener
   servedDatabases: ServedDatabases
@@ -178,5 +185,5 @@
   slices.membership.stop()
   await Promise.all([slices.peers.stop(), metricsServer.stop()])
   stop(system)
-  logger.info('stopped', { vm: settings.vm })
+  logger.info('proxy stopped', { vm: settings.vm })
 }
