--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -135,50 +135,50 @@
  * by absence, so a VM without the object is up to date if a later deletion was accepted.
  */
 function isBehind (fleet: FakeFleet, vm: FakeVm, wanted: StoredObject): boolean {
-  const stored = vm.inForce.get(formatKey(wanted))
-  if (stored !== undefined && stored.revision >= wanted.revision) return false
-  if (stored !== undefined && stored.value !== null) return true
+  const applied = vm.appliedObjects.get(formatKey(wanted))
+  if (applied !== undefined && applied.revision >= wanted.revision) return false
+  if (applied !== undefined && applied.value !== null) return true
   if (wanted.value === null) return false
   const isDeletion = (o: StoredObject) => o.value === null && o.revision >= wanted.revision && formatKey(o) === formatKey(wanted)
   return !fleet.service.accepted.some(a => isDeletion(a.object))
 }
 
 /** Checks the applied objects of all VMs during a simulation and collects violations. */
-class Observer {
+class SimulationChecker {
   readonly problems: string[] = []
   /** When a VM last lacked a path to the object service. */
   readonly lastWithoutPathMs = new Map<string, number>()
   /** When a VM last lacked a path to the object service through a watcher, or the service was slow. */
   readonly lastWithoutWatcherPathMs = new Map<string, number>()
   /** Objects that a VM has applied, in any of its processes, with the time. */
-  readonly published = new Map<string, Array<{ atMs: number, object: StoredObject }>>()
+  readonly appliedHistory = new Map<string, Array<{ atMs: number, object: StoredObject }>>()
   /** When a VM last lacked links to a majority of the fleet. */
   readonly lastWithoutMajorityMs = new Map<string, number>()
 
-  recordPublish (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined, nowMs: number): void {
+  recordApplied (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined, nowMs: number): void {
     if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} went back to revision ${object.revision} of ${formatKey(object)} at ${nowMs}`)
-    const list = this.published.get(vm.name) ?? []
+    const list = this.appliedHistory.get(vm.name) ?? []
     list.push({ atMs: nowMs, object })
-    this.published.set(vm.name, list)
+    this.appliedHistory.set(vm.name, list)
   }
 
-  checkInForce (fleet: FakeFleet): void {
+  checkAppliedObjects (fleet: FakeFleet): void {
     const { nowMs } = fleet
     const withPath = findVmsWithServicePath(fleet, () => true)
     const withWatcherPath = findVmsWithServicePath(fleet, v => v.state.watchers.has(v.name))
-    const mustBeInForce = listExpectedObjects(fleet, nowMs - MAX_PROPAGATION_MS)
-    const mustBeWithdrawn = listExpectedObjects(fleet, nowMs - MAX_WITHDRAWAL_MS).filter(o => o.kind === 'key-ring')
+    const objectsToApply = listExpectedObjects(fleet, nowMs - MAX_PROPAGATION_MS)
+    const keyRingsToApply = listExpectedObjects(fleet, nowMs - MAX_WITHDRAWAL_MS).filter(o => o.kind === 'key-ring')
     for (const vm of fleet.vms) {
       if (!hasMajority(fleet, vm)) this.lastWithoutMajorityMs.set(vm.name, nowMs)
       if (!withPath.has(vm)) this.lastWithoutPathMs.set(vm.name, nowMs)
       if (!withWatcherPath.has(vm) || fleet.service.slowMs > 0) this.lastWithoutWatcherPathMs.set(vm.name, nowMs)
-      this.checkVm(fleet, vm, mustBeInForce, MAX_PROPAGATION_MS, this.lastWithoutPathMs.get(vm.name) ?? 0)
-      this.checkVm(fleet, vm, mustBeWithdrawn, MAX_WITHDRAWAL_MS, this.lastWithoutWatcherPathMs.get(vm.name) ?? 0)
+      this.checkVm(fleet, vm, objectsToApply, MAX_PROPAGATION_MS, this.lastWithoutPathMs.get(vm.name) ?? 0)
+      this.checkVm(fleet, vm, keyRingsToApply, MAX_WITHDRAWAL_MS, this.lastWithoutWatcherPathMs.get(vm.name) ?? 0)
     }
   }
 
-  checkVm (fleet: FakeFleet, vm: FakeVm, wanted: readonly StoredObject[], withinMs: number, sinceMs: number): void {
-    if (!vm.isUp || !vm.state.isReady || fleet.nowMs - sinceMs <= withinMs) return
+  checkVm (fleet: FakeFleet, vm: FakeVm, wanted: readonly StoredObject[], withinMs: number, lastCutOffMs: number): void {
+    if (!vm.isUp || !vm.state.isReady || fleet.nowMs - lastCutOffMs <= withinMs) return
     for (const o of wanted) {
       if (isBehind(fleet, vm, o)) this.problems.push(`${vm.name} lacks ${formatKey(o)} at revision ${o.revision} after ${withinMs} ms at ${fleet.nowMs}`)
     }
@@ -187,7 +187,7 @@
   /** A restarted VM must not serve older objects than its previous process did, if these had time to reach the other VMs. */
   checkRestart (fleet: FakeFleet, vm: FakeVm, stoppedAtMs: number, hadMajority: boolean): void {
     if (!hadMajority) return
-    for (const { atMs, object } of this.published.get(vm.name) ?? []) {
+    for (const { atMs, object } of this.appliedHistory.get(vm.name) ?? []) {
       if (atMs > stoppedAtMs - SETTLE_TIME_MS) continue
       if (isBehind(fleet, vm, object)) this.problems.push(`${vm.name} restarted with an older revision than ${object.revision} of ${formatKey(object)}`)
     }
@@ -195,7 +195,7 @@
 }
 
 function runScenario (scenario: Scenario, decide?: DecideConfiguration): string[] {
-  const observer = new Observer()
+  const checker = new SimulationChecker()
   const { seed, historyLength, events } = scenario
   const fleet: FakeFleet = new FakeFleet({
     vms: VMS,
@@ -203,29 +203,29 @@
     seed,
     historyLength,
     decide,
-    onPublish: (vm, object, previous) => observer.recordPublish(vm, object, previous, fleet.nowMs)
+    onPublish: (vm, object, previous) => checker.recordApplied(vm, object, previous, fleet.nowMs)
   })
   Object.assign(fleet, { lossRate: scenario.lossRate, duplicateRate: scenario.duplicateRate })
   const stops = new Map<string, { atMs: number, hadMajority: boolean }>()
   for (const e of events) {
     fleet.schedule(1_000 + e.atMs, () => {
       const vm = e.type === 'restart' ? fleet.vms[e.vm] : undefined
-      if (vm?.isUp === true && vm.state.isReady) stops.set(vm.name, { atMs: fleet.nowMs, hadMajority: fleet.nowMs - (observer.lastWithoutMajorityMs.get(vm.name) ?? 0) > SETTLE_TIME_MS })
+      if (vm?.isUp === true && vm.state.isReady) stops.set(vm.name, { atMs: fleet.nowMs, hadMajority: fleet.nowMs - (checker.lastWithoutMajorityMs.get(vm.name) ?? 0) > SETTLE_TIME_MS })
       applyEvent(fleet, e)
     })
   }
   for (let i = 0; i < (FAULTS_END_MS + MAX_FAULT_DURATION_MS + 1_000 + MAX_PROPAGATION_MS + 1_000) / STEP_MS; i++) {
     fleet.runFor(STEP_MS)
-    observer.checkInForce(fleet)
+    checker.checkAppliedObjects(fleet)
     for (const [name, stop] of stops) {
       const vm = fleet.vms[Number(name.slice(3))] as FakeVm
       if (!vm.isUp || !vm.state.isReady) continue
       stops.delete(name)
-      observer.checkRestart(fleet, vm, stop.atMs, stop.hadMajority)
+      checker.checkRestart(fleet, vm, stop.atMs, stop.hadMajority)
     }
   }
-  for (const vm of fleet.vms) if (!vm.state.isReady) observer.problems.push(`${vm.name} is not ready at the end`)
-  return observer.problems
+  for (const vm of fleet.vms) if (!vm.state.isReady) checker.problems.push(`${vm.name} is not ready at the end`)
+  return checker.problems
 }
 
 /** Applies whatever arrives last and sends it to all members, without comparing revisions. */
@@ -301,7 +301,7 @@
     expect(restarted.state.isReady).equal(false)
     fleet.cutLinks.clear()
     while (!restarted.state.isReady) fleet.runFor(STEP_MS)
-    expect(restarted.inForce.get('key-ring/ash')?.revision).equal(1)
+    expect(restarted.appliedObjects.get('key-ring/ash')?.revision).equal(1)
   })
 
   it('learns of a deletion from a peer that has only listed the objects since', () => {
@@ -316,11 +316,11 @@
     fleet.stopVm(restarted)
     fleet.startVm(restarted)
     fleet.runFor(SETTLE_TIME_MS)
-    expect(lagging.inForce.get('key-ring/ash')?.value).not.equal(null)
+    expect(lagging.appliedObjects.get('key-ring/ash')?.value).not.equal(null)
     fleet.cutLinks.clear()
     fleet.cutLink(other.name, lagging.name)
     fleet.runFor(MAX_WITHDRAWAL_MS)
-    expect(lagging.inForce.get('key-ring/ash')?.value).equal(null)
+    expect(lagging.appliedObjects.get('key-ring/ash')?.value).equal(null)
   })
 
   it('does not restore a deleted object from a message that was sent before the deletion', () => {
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -17,7 +17,7 @@
   incarnation: number
   state: ConfigurationState
   /** The objects that the VM's current process has applied, by key. */
-  inForce: Map<string, StoredObject>
+  appliedObjects: Map<string, StoredObject>
 }
 
 export interface FakeFleetOptions {
@@ -82,7 +82,7 @@
   startVm (vm: FakeVm): void {
     vm.isUp = true
     vm.incarnation += 1
-    vm.inForce = new Map()
+    vm.appliedObjects = new Map()
     vm.state = this.#createState(vm.name, vm.incarnation)
     this.#deliver(vm, { type: 'members', members: this.#listMembers() })
     this.#scheduleTick(vm, vm.incarnation, Math.floor(this.#random() * TICK_INTERVAL_MS))
@@ -106,7 +106,7 @@
   }
 
   #createVm (name: string, failureDomain: string): FakeVm {
-    return { name, failureDomain, isUp: false, incarnation: 0, state: this.#createState(name, 0), inForce: new Map() }
+    return { name, failureDomain, isUp: false, incarnation: 0, state: this.#createState(name, 0), appliedObjects: new Map() }
   }
 
   #createState (vm: string, incarnation: number): ConfigurationState {
@@ -136,7 +136,7 @@
 
   #runEffect (vm: FakeVm, effect: ConfigurationEffect): void {
     if (effect.type === 'publish') {
-      for (const o of effect.objects) this.#publishObject(vm, o)
+      for (const o of effect.objects) this.#applyObject(vm, o)
     } else if (effect.type === 'send') {
       this.#send(vm, effect.to, effect.body)
     } else if (effect.type === 'list' || effect.type === 'watch') {
@@ -147,9 +147,9 @@
     }
   }
 
-  #publishObject (vm: FakeVm, object: StoredObject): void {
-    this.#options.onPublish?.(vm, object, vm.inForce.get(formatKey(object)))
-    vm.inForce.set(formatKey(object), object)
+  #applyObject (vm: FakeVm, object: StoredObject): void {
+    this.#options.onPublish?.(vm, object, vm.appliedObjects.get(formatKey(object)))
+    vm.appliedObjects.set(formatKey(object), object)
   }
 
   #send (from: FakeVm, to: string, body: Extract<ConfigurationEffect, { type: 'send' }>['body']): void {
--- a/packages/proxy/src/configuration/object-set.ts
+++ b/packages/proxy/src/configuration/object-set.ts
@@ -37,8 +37,8 @@
 /** Merges objects into the set and returns those that were newer than what it had. */
 export function mergeObjects (set: ObjectSet, objects: readonly StoredObject[]): StoredObject[] {
   return objects.filter(o => {
-    const known = set.byKey.get(formatKey(o))
-    if (o.revision <= set.revision || (known !== undefined && known.revision >= o.revision)) return false
+    const current = set.byKey.get(formatKey(o))
+    if (o.revision <= set.revision || (current !== undefined && current.revision >= o.revision)) return false
     set.byKey.set(formatKey(o), o)
     return true
   })
--- a/packages/proxy/src/configuration/start-configuration.ts
+++ b/packages/proxy/src/configuration/start-configuration.ts
@@ -64,7 +64,7 @@
         peers.send(effect.to, SLICE, effect.body)
         break
       case 'publish':
-        for (const o of effect.objects) publishObject(configuration, o, logger)
+        for (const o of effect.objects) applyObject(configuration, o, logger)
         break
       case 'log':
         logger.info(effect.message, { slice: SLICE, ...effect.fields })
@@ -93,7 +93,7 @@
   return configuration
 }
 
-function publishObject (configuration: Configuration, object: StoredObject, logger: Logger): void {
+function applyObject (configuration: Configuration, object: StoredObject, logger: Logger): void {
   const { kind, name, version, revision } = object
   const problem = configuration.applyObject(object)
   if (problem === null) logger.info('configuration object applied', { slice: SLICE, kind, name, version, revision, deleted: object.value === null })
--- a/packages/proxy/src/configuration/watchers.ts
+++ b/packages/proxy/src/configuration/watchers.ts
@@ -15,10 +15,10 @@
   const key = hashName('configuration')
   const weights = new Map(placeable.map(m => [m.vm, hashPair(key, hashName(m.vm))]))
   const sorted = placeable.toSorted((a, b) => (weights.get(b.vm) ?? 0) - (weights.get(a.vm) ?? 0) || (a.vm < b.vm ? -1 : 1))
-  const used = new Map<string, number>()
+  const countByDomain = new Map<string, number>()
   const ranked = sorted.map(m => {
-    const rank = used.get(m.failureDomain) ?? 0
-    used.set(m.failureDomain, rank + 1)
+    const rank = countByDomain.get(m.failureDomain) ?? 0
+    countByDomain.set(m.failureDomain, rank + 1)
     return { vm: m.vm, rank }
   })
   ranked.sort((a, b) => a.rank - b.rank)
