--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -156,7 +156,7 @@
   readonly lastWithoutMajorityMs = new Map<string, number>()
 
   recordApplied (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined, nowMs: number): void {
-    if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} went back to revision ${object.revision} of ${formatKey(object)} at ${nowMs}`)
+    if (previous !== undefined && previous.revision >= object.revision) this.problems.push(`${vm.name} reverted to revision ${object.revision} of ${formatKey(object)} at ${nowMs}`)
     const list = this.appliedHistory.get(vm.name) ?? []
     list.push({ atMs: nowMs, object })
     this.appliedHistory.set(vm.name, list)
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -27,6 +27,7 @@
   maxWatchers?: number
   historyLength?: number
   decide?: DecideConfiguration
+  /** Called for each object that a VM applies. */
   onPublish?: (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined) => void
   /** Called for each message between VMs. */
   handleSend?: (from: FakeVm, to: string, body: unknown) => void
--- a/packages/proxy/src/configuration/gossip.ts
+++ b/packages/proxy/src/configuration/gossip.ts
@@ -132,7 +132,8 @@
 }
 
 /**
- * Records that a peer has nothing newer than this VM, and how recent the peer's configuration is.
+ * If this VM now has everything that the peer has, records that as a confirmation, and how recent the peer's
+ * configuration is.
  *
  * The peer's age is subtracted from the time at which the poll was sent. As the peer computed it later than
  * that, the result is never too recent.
@@ -161,8 +162,8 @@
 /**
  * Applies and forwards objects found by a full listing.
  *
- * A listing does not show deletions of objects that this VM never had, so it is forwarded as an empty
- * revision range, which does not make the receiver complete up to `revision`.
+ * A listing does not show deletions of objects that this VM never had. The objects are therefore forwarded with
+ * an empty revision range, which does not make the receivers complete up to `revision`.
  */
 export function forwardListedChanges (state: ConfigurationState, revision: number, changes: StoredObject[]): ConfigurationEffect[] {
   return state.isReady ? forwardChanges(state, { from: revision, to: revision, objects: changes }, changes) : publishChanges(changes)
--- a/packages/proxy/src/configuration/object-set.ts
+++ b/packages/proxy/src/configuration/object-set.ts
@@ -4,7 +4,7 @@
 export const MAX_PAGE_BYTES = 64 * 1024
 
 /**
- * The objects that a VM knows, ordered by the store's revision.
+ * The objects that a VM has, with their revisions in the object service.
  *
  * Merging is idempotent and commutative: of two versions of an object the one with the higher revision
  * is kept, in whichever order they arrive.
--- a/packages/proxy/src/configuration/service-calls.ts
+++ b/packages/proxy/src/configuration/service-calls.ts
@@ -67,6 +67,7 @@
     state.needsFullListing = true
     return [{ type: 'log', message: 'watch revision expired, requesting a full listing', fields: { revision: state.objectSet.revision } }, ...decideServiceCall(state, nowMs)]
   }
+  // A call that was sent later has succeeded, so there is no reason for a backoff.
   if (sentAtMs < state.lastSuccessfulCallSentAtMs) return []
   const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** state.failures)
   state.failures += 1
--- a/packages/proxy/src/configuration/state.ts
+++ b/packages/proxy/src/configuration/state.ts
@@ -30,6 +30,7 @@
 export const FALLBACK_CALLS_PER_SECOND = 18
 /** Time after which a further call may be sent beside a pending one, in milliseconds. */
 export const HEDGE_DELAY_MS = 1_500
+/** Maximum number of pending calls to the object service. */
 export const MAX_PENDING_CALLS = 4
 export const MIN_BACKOFF_MS = 250
 export const MAX_BACKOFF_MS = 2_000
@@ -42,6 +43,7 @@
 /** Number of peers whose confirmation suffices for a start, however large the fleet is. */
 export const MAX_REQUIRED_CONFIRMATIONS = 8
 
+/** All objects of one kind, as of a revision. */
 export interface KindListing {
   kind: ObjectKind
   revision: number
@@ -76,6 +78,7 @@
 /** A full listing in progress: one peer sends all its objects, page by page. */
 export interface PeerListing {
   vm: string
+  /** Revision after which the next page begins. */
   cursor: number
   listedKeys: Set<string>
   pageRequestedAtMs: number
@@ -92,6 +95,7 @@
   isReady: boolean
   /** Whether deletions may be missing, so that all objects have to be listed. */
   needsFullListing: boolean
+  /** The full listing from a peer that is in progress, if any. */
   load: PeerListing | null
   /** Peers that have confirmed that they have nothing newer; needed until the VM is ready. */
   confirmingPeers: Set<string>
@@ -100,8 +104,10 @@
   completeAsOfMs: number
   /** Number of members of the fleet, as last seen while the configuration was not stale, or the highest seen since. */
   fleetSize: number
+  /** Since when the fleet has been smaller than `fleetSize`; `null` if it is not or the configuration is stale. */
   fleetSmallerSinceMs: number | null
   pendingCalls: number
+  /** Sending time of the latest call; `-Infinity` once it has ended. */
   lastCallSentAtMs: number
   /** Sending time of the latest call that succeeded. */
   lastSuccessfulCallSentAtMs: number
