--- a/packages/proxy/src/session/steering.ts
+++ b/packages/proxy/src/session/steering.ts
@@ -23,7 +23,7 @@
  * Parses a statement to the proxy itself, such as `USE` or a `SET` of one of its variables.
  *
  * @returns `undefined` for a statement that must run on an endpoint
- * @example parseSteering('SET @camphorpitch_max_age_ms = 5000') // { kind: 'setMaxAge', maxAgeMs: 5000 }
+ * @example parseProxyCommand('SET @camphorpitch_max_age_ms = 5000') // { kind: 'setMaxAge', maxAgeMs: 5000 }
  */
 export function parseProxyCommand (text: string): ProxyCommand | undefined {
   if (readSessionPattern.test(text)) return { kind: 'readSession' }
