--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -2,17 +2,18 @@
 import { ConfigurationView } from './configuration-view.ts'
 import { applyValue, createObjectValues } from './object-values.ts'
 
-/** For metrics and status. */
+/** State of the configuration, for metrics and status. */
 export interface ConfigurationReport {
   revision: number
   isReady: boolean
   isWatcher: boolean
-  /** Milliseconds since this VM surely had all that was accepted. */
+  /** Milliseconds since the last time at which this VM is known to have had every accepted change; `Infinity` if there was none. */
   ageMs: number
-  /** Objects whose stored value is invalid, so that an older one is in force. */
+  /** Keys (`kind/name`) of objects whose stored value is invalid, so that an older valid value, if any, stays in effect. */
   invalidObjects: readonly string[]
 }
 
+/** What `Configuration` needs from the actor that keeps it up to date. */
 export interface ConfigurationHost {
   readReport: () => Omit<ConfigurationReport, 'invalidObjects'>
   isCurrent: () => boolean
@@ -23,24 +24,28 @@
 export class Configuration extends ConfigurationView {
   readonly #host: ConfigurationHost
   readonly #values = createObjectValues()
-  readonly #invalid = new Set<string>()
+  readonly #invalidKeys = new Set<string>()
   readonly #listeners: Array<(kind: string, name: string) => void> = []
-  readonly #readyWaits: Array<() => void> = []
+  readonly #readyResolvers: Array<() => void> = []
 
   constructor (host: ConfigurationHost) {
     super()
     this.#host = host
   }
 
-  /** Puts an object in force; answers what is wrong with an invalid one, `null` otherwise. */
+  /**
+   * Applies an object's value, or removes it when the object was deleted, and notifies the subscribers.
+   *
+   * @returns why the value is invalid and was not applied; `null` if it was applied
+   */
   applyObject (object: StoredObject): string | null {
     const key = `${object.kind}/${object.name}`
     const problem = applyValue(this.#values, object)
     if (problem !== null) {
-      this.#invalid.add(key)
+      this.#invalidKeys.add(key)
       return problem
     }
-    this.#invalid.delete(key)
+    this.#invalidKeys.delete(key)
     for (const l of this.#listeners) l(object.kind, object.name)
     return null
   }
@@ -81,25 +86,25 @@
     return this.#host.isCurrent()
   }
 
-  /** False until the whole configuration is known; callers are not to be served before. */
+  /** False until this VM has a complete configuration; clients must not be served before. */
   isReady (): boolean {
     return this.#host.readReport().isReady
   }
 
-  /** Resolves once ready. */
-  async waitReady (): Promise<void> {
+  /** Resolves once `isReady` is true. */
+  async waitUntilReady (): Promise<void> {
     if (this.isReady()) return
-    await new Promise<void>(resolve => { this.#readyWaits.push(resolve) })
+    await new Promise<void>(resolve => { this.#readyResolvers.push(resolve) })
   }
 
-  /** Called by the host after each message. */
-  handleProgress (): void {
-    if (this.#readyWaits.length === 0 || !this.isReady()) return
-    for (const resolve of this.#readyWaits.splice(0)) resolve()
+  /** Resolves pending `waitUntilReady` calls once ready; the host calls it on each tick. */
+  resolveReadyWaiters (): void {
+    if (this.#readyResolvers.length === 0 || !this.isReady()) return
+    for (const resolve of this.#readyResolvers.splice(0)) resolve()
   }
 
   readReport (): ConfigurationReport {
-    return { ...this.#host.readReport(), invalidObjects: [...this.#invalid] }
+    return { ...this.#host.readReport(), invalidObjects: [...this.#invalidKeys] }
   }
 
   subscribe (listener: (kind: string, name: string) => void): void {
--- a/packages/proxy/src/configuration/decision.ts
+++ b/packages/proxy/src/configuration/decision.ts
@@ -1,11 +1,11 @@
 import type { Decide, Step } from '@camphorpitch/wire'
-import { recordFleetSize } from './currency.ts'
-import { decidePoll, decideReady, handlePeerMessage } from './gossip.ts'
-import { decideCall, handleListed, handleServiceFailed, handleWatched } from './service-calls.ts'
+import { updateFleetSize } from './currency.ts'
+import { decidePoll, decideStartFromPeers, handlePeerMessage } from './gossip.ts'
+import { decideServiceCall, handleListed, handleServiceFailed, handleWatched } from './service-calls.ts'
 import type { ConfigurationEffect, ConfigurationMessage, ConfigurationState } from './state.ts'
 import { selectWatchers } from './watchers.ts'
 
-/** Decides who watches the object service, and how changes reach every VM and never go back. */
+/** Decides which VMs watch the object service and how changes spread to every VM. An applied revision is never replaced by an older one. */
 export const decideConfiguration: Decide<ConfigurationState, ConfigurationMessage, ConfigurationEffect> = applyMessage
 
 function applyMessage (state: ConfigurationState, message: ConfigurationMessage, nowMs: number): Step<ConfigurationState, ConfigurationEffect> {
@@ -24,8 +24,8 @@
 }
 
 function handleTick (state: ConfigurationState, nowMs: number): ConfigurationEffect[] {
-  recordFleetSize(state, nowMs)
-  return [...decideReady(state, nowMs), ...decideCall(state, nowMs), ...decidePoll(state, nowMs)]
+  updateFleetSize(state, nowMs)
+  return [...decideStartFromPeers(state, nowMs), ...decideServiceCall(state, nowMs), ...decidePoll(state, nowMs)]
 }
 
 function handleMembers (state: ConfigurationState, members: ConfigurationState['members']): ConfigurationEffect[] {
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -3,10 +3,10 @@
 import { decideConfiguration } from './decision.ts'
 import { FakeObjectService } from './fake-object-service.ts'
 import { formatKey } from './object-set.ts'
-import { createConfigurationState, TICK_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
+import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
 
-/** Longest delay of a message between VMs, in milliseconds; each message draws its own, so they cross. */
-const MAX_DELAY_MS = 40
+/** Maximum delay of a message between VMs, in milliseconds. Each message has a random delay, so messages may overtake each other. */
+const MAX_MESSAGE_DELAY_MS = 40
 
 export type DecideConfiguration = Decide<ConfigurationState, ConfigurationMessage, ConfigurationEffect>
 
@@ -16,8 +16,8 @@
   isUp: boolean
   incarnation: number
   state: ConfigurationState
-  /** The objects put in force by the current process, by key. */
-  inForce: Map<string, StoredObject>
+  /** The objects that the VM's current process has applied, by key. */
+  appliedObjects: Map<string, StoredObject>
 }
 
 export interface FakeFleetOptions {
@@ -27,26 +27,27 @@
   maxWatchers?: number
   historyLength?: number
   decide?: DecideConfiguration
+  /** Called for each object that a VM applies. */
   onPublish?: (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined) => void
   /** Called for each message between VMs. */
   handleSend?: (from: FakeVm, to: string, body: unknown) => void
 }
 
-/** Decisions of a whole fleet in one process, on a virtual clock, with faulty links. */
+/** Runs the configuration decisions of a whole fleet in one process, on a virtual clock, with simulated link faults. */
 export class FakeFleet {
   readonly vms: FakeVm[] = []
   readonly service: FakeObjectService
   nowMs = 0
   lossRate = 0
   duplicateRate = 0
-  /** Pairs `a|b` of VMs that cannot reach each other, in both orders. */
+  /** Pairs `a|b` of VMs that cannot reach each other; each pair is in the set in both orders. */
   readonly cutLinks = new Set<string>()
   /** VMs that cannot reach the object service. */
   readonly cutFromService = new Set<string>()
   readonly #options: FakeFleetOptions
   readonly #decide: DecideConfiguration
   readonly #random: () => number
-  readonly #due = new Map<number, Array<() => void>>()
+  readonly #scheduledTasks = new Map<number, Array<() => void>>()
 
   constructor (options: FakeFleetOptions) {
     const { seed = 1, vms, failureDomains = 3, historyLength = 1_000, decide = decideConfiguration } = options
@@ -62,8 +63,8 @@
 
   schedule (delayMs: number, run: () => void): void {
     const at = this.nowMs + Math.max(1, Math.round(delayMs))
-    const list = this.#due.get(at)
-    if (list === undefined) this.#due.set(at, [run])
+    const list = this.#scheduledTasks.get(at)
+    if (list === undefined) this.#scheduledTasks.set(at, [run])
     else list.push(run)
   }
 
@@ -71,21 +72,21 @@
     const end = this.nowMs + durationMs
     while (this.nowMs < end) {
       this.nowMs += 1
-      const list = this.#due.get(this.nowMs)
+      const list = this.#scheduledTasks.get(this.nowMs)
       if (list === undefined) continue
-      this.#due.delete(this.nowMs)
+      this.#scheduledTasks.delete(this.nowMs)
       for (const run of list) run()
     }
   }
 
-  /** Starts a VM's process with empty memory. */
+  /** Starts a VM's process anew, without the state of its previous process. */
   startVm (vm: FakeVm): void {
     vm.isUp = true
     vm.incarnation += 1
-    vm.inForce = new Map()
+    vm.appliedObjects = new Map()
     vm.state = this.#createState(vm.name, vm.incarnation)
     this.#deliver(vm, { type: 'members', members: this.#listMembers() })
-    this.#scheduleTick(vm, vm.incarnation, Math.floor(this.#random() * TICK_MS))
+    this.#scheduleTick(vm, vm.incarnation, Math.floor(this.#random() * TICK_INTERVAL_MS))
   }
 
   stopVm (vm: FakeVm): void {
@@ -96,7 +97,7 @@
     this.cutLinks.add(`${a}|${b}`).add(`${b}|${a}`)
   }
 
-  /** Tells all running VMs of their members; by default all. */
+  /** Sets the members that a VM sees. */
   setMembers (vm: FakeVm, members: readonly Member[]): void {
     this.#deliver(vm, { type: 'members', members })
   }
@@ -106,7 +107,7 @@
   }
 
   #createVm (name: string, failureDomain: string): FakeVm {
-    return { name, failureDomain, isUp: false, incarnation: 0, state: this.#createState(name, 0), inForce: new Map() }
+    return { name, failureDomain, isUp: false, incarnation: 0, state: this.#createState(name, 0), appliedObjects: new Map() }
   }
 
   #createState (vm: string, incarnation: number): ConfigurationState {
@@ -123,7 +124,7 @@
     this.schedule(delayMs, () => {
       if (!vm.isUp || vm.incarnation !== incarnation) return
       this.#deliver(vm, { type: 'tick' })
-      this.#scheduleTick(vm, incarnation, TICK_MS)
+      this.#scheduleTick(vm, incarnation, TICK_INTERVAL_MS)
     })
   }
 
@@ -136,7 +137,7 @@
 
   #runEffect (vm: FakeVm, effect: ConfigurationEffect): void {
     if (effect.type === 'publish') {
-      for (const o of effect.objects) this.#publishObject(vm, o)
+      for (const o of effect.objects) this.#applyObject(vm, o)
     } else if (effect.type === 'send') {
       this.#send(vm, effect.to, effect.body)
     } else if (effect.type === 'list' || effect.type === 'watch') {
@@ -147,9 +148,9 @@
     }
   }
 
-  #publishObject (vm: FakeVm, object: StoredObject): void {
-    this.#options.onPublish?.(vm, object, vm.inForce.get(formatKey(object)))
-    vm.inForce.set(formatKey(object), object)
+  #applyObject (vm: FakeVm, object: StoredObject): void {
+    this.#options.onPublish?.(vm, object, vm.appliedObjects.get(formatKey(object)))
+    vm.appliedObjects.set(formatKey(object), object)
   }
 
   #send (from: FakeVm, to: string, body: Extract<ConfigurationEffect, { type: 'send' }>['body']): void {
@@ -158,7 +159,7 @@
     for (let i = 0; i < copies; i++) {
       if (this.#random() < this.lossRate || this.cutLinks.has(`${from.name}|${to}`)) continue
       const receiver = this.vms[Number(to.slice(3))]
-      const delayMs = 1 + this.#random() * MAX_DELAY_MS
+      const delayMs = 1 + this.#random() * MAX_MESSAGE_DELAY_MS
       if (receiver !== undefined) this.schedule(delayMs, () => this.#deliver(receiver, { type: 'peer', from: from.name, body }))
     }
   }
--- a/packages/proxy/src/configuration/start-configuration.ts
+++ b/packages/proxy/src/configuration/start-configuration.ts
@@ -6,7 +6,7 @@
 import { decideConfiguration } from './decision.ts'
 import { configurationPeerMessageSchema } from './messages.ts'
 import { configurationKinds } from './object-values.ts'
-import { createConfigurationState, TICK_MS, type ConfigurationEffect, type ConfigurationMessage, type KindListing } from './state.ts'
+import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type KindListing } from './state.ts'
 
 const SLICE = 'configuration'
 
@@ -17,18 +17,18 @@
   objectClient: ObjectClient
   peers: PeerNetwork
   membership: MembershipView
-  /** Seed of the choice of peers; by default from this process's incarnation. */
+  /** Seed for the random choice of peers; by default this process's incarnation. */
   seed?: number
 }
 
-type Tell = (message: ConfigurationMessage) => void
+type SendToActor = (message: ConfigurationMessage) => void
 
 /**
  * Starts the configuration slice of a VM.
  *
  * @example
  * const configuration = startConfiguration({ system, clock, logger, objectClient, peers, membership })
- * await configuration.waitReady()
+ * await configuration.waitUntilReady()
  */
 export function startConfiguration (options: ConfigurationOptions): Configuration {
   const { system, clock, logger, peers, membership, seed = peers.self.incarnation } = options
@@ -45,26 +45,26 @@
   const configuration = new Configuration({
     readReport: () => {
       const state = actor.readState()
-      const { set: { revision }, isReady, watchers, vm } = state
+      const { objectSet: { revision }, isReady, watchers, vm } = state
       return { revision, isReady, isWatcher: watchers.has(vm), ageMs: computeAgeMs(state, clock.readNow()) }
     },
     isCurrent: () => isCurrent(actor.readState(), clock.readNow()),
     stop
   })
 
-  function runEffect (effect: ConfigurationEffect, tell: Tell): void {
+  function runEffect (effect: ConfigurationEffect, tell: SendToActor): void {
     switch (effect.type) {
       case 'list':
-        tellListing(options, tell)
+        requestListing(options, tell)
         break
       case 'watch':
-        tellWatch(options, effect.since, effect.waitMs, abort.signal, tell)
+        requestWatch(options, effect.since, effect.waitMs, abort.signal, tell)
         break
       case 'send':
         peers.send(effect.to, SLICE, effect.body)
         break
       case 'publish':
-        for (const o of effect.objects) publishObject(configuration, o, logger)
+        for (const o of effect.objects) applyObject(configuration, o, logger)
         break
       case 'log':
         logger.info(effect.message, { slice: SLICE, ...effect.fields })
@@ -77,48 +77,48 @@
     actor.stop()
   }
 
-  const tellMembers = () => actor.tell({ type: 'members', members: membership.listMembers() })
+  const sendMembers = () => actor.tell({ type: 'members', members: membership.listMembers() })
   peers.subscribe(SLICE, (from, body) => {
     const message = configurationPeerMessageSchema.safeParse(body)
     if (message.success) actor.tell({ type: 'peer', from: from.vm, body: message.data })
     else logger.warn('malformed peer message', { slice: SLICE, peer: from.vm })
   })
-  membership.subscribe(tellMembers)
-  tellMembers()
+  membership.subscribe(sendMembers)
+  sendMembers()
   const timer = setInterval(() => {
     actor.tell({ type: 'tick' })
-    configuration.handleProgress()
-  }, TICK_MS)
+    configuration.resolveReadyWaiters()
+  }, TICK_INTERVAL_MS)
   actor.tell({ type: 'tick' })
   return configuration
 }
 
-function publishObject (configuration: Configuration, object: StoredObject, logger: Logger): void {
+function applyObject (configuration: Configuration, object: StoredObject, logger: Logger): void {
   const { kind, name, version, revision } = object
   const problem = configuration.applyObject(object)
-  if (problem === null) logger.info('configuration in force', { slice: SLICE, kind, name, version, revision, deleted: object.value === null })
-  else logger.error('invalid object, the last good version stays in force', { slice: SLICE, kind, name, version, problem })
+  if (problem === null) logger.info('configuration object applied', { slice: SLICE, kind, name, version, revision, deleted: object.value === null })
+  else logger.error('invalid configuration object ignored, last valid version stays in effect', { slice: SLICE, kind, name, version, problem })
 }
 
-async function tellListing ({ objectClient, clock, logger }: ConfigurationOptions, tell: Tell): Promise<void> {
+async function requestListing ({ objectClient, clock, logger }: ConfigurationOptions, tell: SendToActor): Promise<void> {
   const sentAtMs = clock.readNow()
   try {
     const listings = await Promise.all(configurationKinds.map(async (kind): Promise<KindListing> => ({ kind, ...await objectClient.listObjects(kind) })))
     tell({ type: 'listed', sentAtMs, listings })
   } catch (error) {
-    logger.warn('object service gave no list', { slice: SLICE, error: String(error) })
+    logger.warn('listing configuration objects failed', { slice: SLICE, error: String(error) })
     tell({ type: 'serviceFailed', sentAtMs, isExpired: false })
   }
 }
 
-async function tellWatch ({ objectClient, clock, logger }: ConfigurationOptions, since: number, waitMs: number, signal: AbortSignal, tell: Tell): Promise<void> {
+async function requestWatch ({ objectClient, clock, logger }: ConfigurationOptions, since: number, waitMs: number, signal: AbortSignal, tell: SendToActor): Promise<void> {
   const sentAtMs = clock.readNow()
   try {
     const result = await objectClient.watchObjects(configurationKinds, since, waitMs, signal)
     tell({ type: 'watched', sentAtMs, since, result })
   } catch (error) {
     if (signal.aborted) return
-    logger.warn('watch failed', { slice: SLICE, error: String(error) })
+    logger.warn('watching configuration objects failed', { slice: SLICE, error: String(error) })
     tell({ type: 'serviceFailed', sentAtMs, isExpired: error instanceof ExpiredRevisionError })
   }
 }
--- a/packages/proxy/src/configuration/watchers.ts
+++ b/packages/proxy/src/configuration/watchers.ts
@@ -1,12 +1,12 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
 import { listPlaceable, type Member } from '../membership/membership-view.ts'
 
-/** VMs that watch the object service at once. */
+/** Maximum number of VMs that watch the object service at the same time. */
 export const MAX_WATCHERS = 9
 
 /**
- * Selects the VMs that watch the object service, by rendezvous hashing: the best of each failure
- * domain first, then the second best, up to `maxWatchers`.
+ * Selects the VMs that watch the object service, by rendezvous hashing: the highest ranked VM of
+ * each failure domain first, then the second highest, up to `maxWatchers`.
  *
  * @example selectWatchers(members).has('vm-1')
  */
@@ -15,10 +15,10 @@
   const key = hashName('configuration')
   const weights = new Map(placeable.map(m => [m.vm, hashPair(key, hashName(m.vm))]))
   const sorted = placeable.toSorted((a, b) => (weights.get(b.vm) ?? 0) - (weights.get(a.vm) ?? 0) || (a.vm < b.vm ? -1 : 1))
-  const used = new Map<string, number>()
+  const countByDomain = new Map<string, number>()
   const ranked = sorted.map(m => {
-    const rank = used.get(m.failureDomain) ?? 0
-    used.set(m.failureDomain, rank + 1)
+    const rank = countByDomain.get(m.failureDomain) ?? 0
+    countByDomain.set(m.failureDomain, rank + 1)
     return { vm: m.vm, rank }
   })
   ranked.sort((a, b) => a.rank - b.rank)
--- a/packages/proxy/src/session/token.ts
+++ b/packages/proxy/src/session/token.ts
@@ -14,7 +14,7 @@
 })
 
 /**
- * Signs a session's positions so that the caller can carry them to any VM.
+ * Creates a signed token of a session's positions, with which the client can resume the session on any VM.
  *
  * @example signToken(session, secret) // 'v1.eyJ3b3Jrc3BhY2Ui….mB1c…'
  */
@@ -25,7 +25,7 @@
 }
 
 /**
- * Raises the session's positions to those of a token.
+ * Advances the session's positions to those of a token.
  *
  * @throws SessionTokenError for a damaged or forged token, or one of another workspace
  */
@@ -39,8 +39,8 @@
   const parts = token.split('.')
   if (token.length > MAX_TOKEN_LENGTH || parts.length !== 3 || parts[0] !== TOKEN_VERSION) throw new SessionTokenError('not a session token')
   const [version, encoded, mac] = parts as [string, string, string]
-  const isSigned = secret.sessionKeys.some(k => hasEqualMac(computeMac(`${version}.${encoded}`, k), mac))
-  if (!isSigned) throw new SessionTokenError('the session token is not signed by this fleet')
+  const hasValidSignature = secret.sessionKeys.some(k => hasEqualMac(computeMac(`${version}.${encoded}`, k), mac))
+  if (!hasValidSignature) throw new SessionTokenError('the session token is not signed by this fleet')
   return parsePayload(encoded)
 }
 
--- a/packages/proxy/src/telemetry/metrics.ts
+++ b/packages/proxy/src/telemetry/metrics.ts
@@ -16,7 +16,7 @@
   outage: Gauge<'database'>
 }
 
-/** Creates the metrics with a registry of their own. */
+/** Creates the metrics of a VM in a new registry, with the default metrics of the process. */
 export function createMetrics (): Metrics {
   const registry = new Registry()
   collectDefaultMetrics({ register: registry })
@@ -51,6 +51,7 @@
   }
 }
 
+/** A running metrics server. */
 export interface MetricsServer {
   port: number
   stop: () => Promise<void>
@@ -71,10 +72,10 @@
   server.listen(port, host)
   await once(server, 'listening')
   const address = server.address() as AddressInfo
-  return { port: address.port, stop: async () => await closeServer(server) }
+  return { port: address.port, stop: async () => await stopServer(server) }
 }
 
-async function closeServer (server: Server): Promise<void> {
+async function stopServer (server: Server): Promise<void> {
   server.closeAllConnections()
   await new Promise<void>(resolve => server.close(() => resolve()))
 }
