--- a/packages/ctl/src/commands/database-commands.ts
+++ b/packages/ctl/src/commands/database-commands.ts
@@ -10,7 +10,7 @@
   protected readonly kind = 'database'
 
   /** Majorities of two groups that differ by more than one endpoint need not meet, so that an acknowledged write could be lost. */
-  protected override checkChange (before: Database, after: Database, file: string): void {
+  protected override validateChange (before: Database, after: Database, file: string): void {
     const listNames = (d: Database) => d.endpoints.map(e => e.endpoint)
     const added = listNames(after).filter(n => !listNames(before).includes(n))
     const removed = listNames(before).filter(n => !listNames(after).includes(n))
--- a/packages/ctl/src/commands/document-commands.ts
+++ b/packages/ctl/src/commands/document-commands.ts
@@ -1,7 +1,7 @@
 import { writeFileSync } from 'node:fs'
 import { nameSchema, readJsonFile, SettingsError, type Contract, type Database, type ObjectClient, type StoredObject } from '@camphorpitch/wire'
 import { Option } from 'clipanion'
-import { checkDatabases, checkDocument, formatNearest, listChanges, type Document, type DocumentKind, type FieldChange } from '../document-check.ts'
+import { checkDatabaseNames, checkDocument, formatSuggestion, listChanges, type Document, type DocumentKind, type FieldChange } from '../document-check.ts'
 import { EditConflictError, NotFoundError } from '../errors.ts'
 import { removeObject, replaceObject } from '../object-edits.ts'
 import { PlatformCommand, type CommandOutput } from './platform-command.ts'
@@ -22,16 +22,16 @@
   protected async checkReferences (client: ObjectClient, document: Document<K>, file: string): Promise<void> {
     if (this.kind !== 'contract') return
     const { objects } = await client.listObjects('database')
-    checkDatabases(document as Contract, objects.map(o => o.name), file)
+    checkDatabaseNames(document as Contract, objects.map(o => o.name), file)
   }
 
   /** @throws NotFoundError offering the nearest name */
-  protected async readExisting (client: ObjectClient, name: string): Promise<StoredObject> {
+  protected async findExisting (client: ObjectClient, name: string): Promise<StoredObject> {
     if (!nameSchema.safeParse(name).success) throw new SettingsError(`'${name}' is no name: expected lower-case letters, digits and hyphens`)
     const object = await client.findObject(this.kind, name)
     if (object !== null) return object
     const { objects } = await client.listObjects(this.kind)
-    throw new NotFoundError(`no ${this.kind} '${name}'${formatNearest(name, objects.map(o => o.name))}`)
+    throw new NotFoundError(`no ${this.kind} '${name}'${formatSuggestion(name, objects.map(o => o.name))}`)
   }
 }
 
@@ -41,8 +41,8 @@
   override async run (): Promise<CommandOutput> {
     const document = this.readDocument(this.file)
     if (this.platform !== undefined) await this.checkReferences(this.createClient(), document, this.file)
-    const note = this.platform === undefined ? '; names of databases not checked, for that give --platform' : ''
-    return { lines: [`${this.file}: valid${note}`], value: { valid: true } }
+    const uncheckedNote = this.platform === undefined ? '; names of databases not checked, for that give --platform' : ''
+    return { lines: [`${this.file}: valid${uncheckedNote}`], value: { valid: true } }
   }
 }
 
@@ -50,7 +50,7 @@
   file = Option.String()
 
   /** @throws SettingsError when a document may not follow the one in force */
-  protected checkChange (_before: Document<K>, _after: Document<K>, _file: string): void {}
+  protected validateChange (_before: Document<K>, _after: Document<K>, _file: string): void {}
 
   version = Option.String('--version', { description: 'write only if the stored object has this version; 0 for none' })
 
@@ -60,12 +60,12 @@
     await this.checkReferences(client, document, this.file)
     const name = this.readName(document)
     const current = await client.findObject(this.kind, name)
-    const expected = this.version === undefined ? current?.version ?? 0 : parseVersion(this.version)
+    const expectedVersion = this.version === undefined ? current?.version ?? 0 : parseVersion(this.version)
     const changes = listChanges(current?.value, document)
-    if (current !== null) this.checkChange(current.value as Document<K>, document, this.file)
-    if (expected !== (current?.version ?? 0)) throw createConflict(this.kind, name, expected, current, changes)
+    if (current !== null) this.validateChange(current.value as Document<K>, document, this.file)
+    if (expectedVersion !== (current?.version ?? 0)) throw createConflictError(this.kind, name, expectedVersion, current, changes)
     if (current !== null && changes.length === 0) return { lines: [`${this.kind} '${name}': unchanged at version ${current.version}`], value: { name, version: current.version, changes } }
-    const { version } = await replaceObject(client, this.kind, name, expected, document as never)
+    const { version } = await replaceObject(client, this.kind, name, expectedVersion, document as never)
     return { lines: [`${this.kind} '${name}': accepted as version ${version}`, ...changes.map(formatChange)], value: { name, version, changes } }
   }
 }
@@ -75,7 +75,7 @@
   output = Option.String('-o,--output', { description: 'file to write the document to' })
 
   override async run (): Promise<CommandOutput> {
-    const { version, value } = await this.readExisting(this.createClient(), this.name)
+    const { version, value } = await this.findExisting(this.createClient(), this.name)
     const text = JSON.stringify(value, null, 2)
     if (this.output === undefined) return { lines: [text], value: { name: this.name, version, value } }
     writeFileSync(this.output, `${text}\n`)
@@ -102,8 +102,8 @@
     const name = this.readName(document)
     const current = await this.createClient().findObject(this.kind, name)
     const changes = listChanges(current?.value, document)
-    const head = current === null ? `${this.kind} '${name}' does not exist yet` : `${this.kind} '${name}' at version ${current.version}: ${changes.length} changes`
-    return { lines: [head, ...changes.map(formatChange)], value: { name, version: current?.version ?? 0, changes } }
+    const summary = current === null ? `${this.kind} '${name}' does not exist yet` : `${this.kind} '${name}' at version ${current.version}: ${changes.length} changes`
+    return { lines: [summary, ...changes.map(formatChange)], value: { name, version: current?.version ?? 0, changes } }
   }
 }
 
@@ -113,9 +113,9 @@
 
   override async run (): Promise<CommandOutput> {
     const client = this.createClient()
-    const current = await this.readExisting(client, this.name)
-    const expected = this.version === undefined ? current.version : parseVersion(this.version)
-    await removeObject(client, this.kind, this.name, expected)
+    const current = await this.findExisting(client, this.name)
+    const expectedVersion = this.version === undefined ? current.version : parseVersion(this.version)
+    await removeObject(client, this.kind, this.name, expectedVersion)
     return { lines: [`${this.kind} '${this.name}': deleted`], value: { name: this.name, deleted: true } }
   }
 }
@@ -126,8 +126,8 @@
   throw new SettingsError(`--version: expected a whole number, got '${text}'`)
 }
 
-function createConflict (kind: DocumentKind, name: string, expected: number, current: StoredObject | null, changes: FieldChange[]): Error {
-  const lines = [`${kind} '${name}': expected version ${expected}, found ${current?.version ?? 'none'}; nothing was written`]
+function createConflictError (kind: DocumentKind, name: string, expectedVersion: number, current: StoredObject | null, changes: FieldChange[]): Error {
+  const lines = [`${kind} '${name}': expected version ${expectedVersion}, found ${current?.version ?? 'none'}; nothing was written`]
   return new EditConflictError([...lines, 'the stored one and the file differ in:', ...changes.map(formatChange)].join('\n'))
 }
 
--- a/packages/ctl/src/commands/gateway-commands.ts
+++ b/packages/ctl/src/commands/gateway-commands.ts
@@ -3,12 +3,12 @@
 import { ExitCode } from '../errors.ts'
 
 /** Longest wait for a gateway's answer, in milliseconds; one that takes longer would not serve clients either. */
-const ANSWER_WAIT_MS = 2_000
+const RESPONSE_TIMEOUT_MS = 2_000
 /** Workspaces shown for each gateway; `--json` shows all that it names. */
-const SHOWN_WORKSPACES = 5
+const MAX_SHOWN_WORKSPACES = 5
 const PERCENT = 100
 
-type Reading = { address: string, status: GatewayStatus } | { address: string, error: string }
+type StatusResult = { address: string, status: GatewayStatus } | { address: string, error: string }
 
 /** Shows what gateways believe, from their metrics addresses; asks nothing of the platform's store. */
 class GatewaysCommand extends Command {
@@ -24,16 +24,16 @@
   json = Option.Boolean('--json', false, { description: 'print JSON' })
 
   async execute (): Promise<number> {
-    const readings = await Promise.all(this.addresses.map(readGateway))
-    const text = this.json ? JSON.stringify(readings, null, 2) : readings.flatMap(describeReading).join('\n')
+    const results = await Promise.all(this.addresses.map(requestStatus))
+    const text = this.json ? JSON.stringify(results, null, 2) : results.flatMap(describeResult).join('\n')
     this.context.stdout.write(`${text}\n`)
-    return readings.every(r => 'status' in r) ? ExitCode.ok : ExitCode.unknown
+    return results.every(r => 'status' in r) ? ExitCode.ok : ExitCode.unknown
   }
 }
 
-async function readGateway (address: string): Promise<Reading> {
+async function requestStatus (address: string): Promise<StatusResult> {
   try {
-    const response = await fetch(`http://${address}/status`, { signal: AbortSignal.timeout(ANSWER_WAIT_MS) })
+    const response = await fetch(`http://${address}/status`, { signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS) })
     if (!response.ok) return { address, error: `status ${response.status}` }
     const parsed = gatewayStatusSchema.safeParse(await response.json())
     return parsed.success ? { address, status: parsed.data } : { address, error: `not a gateway's status: ${parsed.error.issues[0]?.path.join('.') ?? ''}` }
@@ -43,21 +43,21 @@
   }
 }
 
-function describeReading (reading: Reading): string[] {
-  if ('error' in reading) return [`${reading.address}  no answer: ${reading.error}`]
-  const { vm, isReady, configurationVersion, vms, sessions, services, workspaces } = reading.status
+function describeResult (result: StatusResult): string[] {
+  if ('error' in result) return [`${result.address}  no answer: ${result.error}`]
+  const { vm, isReady, configurationVersion, vms, sessions, services, workspaces } = result.status
   return [
     `${vm}  ${isReady ? 'ready' : 'not ready'}  configuration ${configurationVersion}  hears ${vms.heard} of ${vms.known} vms  ${sessions} sessions`,
     ...services.map(describeService),
-    ...workspaces.slice(0, SHOWN_WORKSPACES).map(w => `  workspace ${w.workspace}  asks for ${Math.round(w.demand)} of ${Math.round(w.allowed)} in a window  part ${Math.round(w.share * PERCENT)}%`)
+    ...workspaces.slice(0, MAX_SHOWN_WORKSPACES).map(w => `  workspace ${w.workspace}  asks for ${Math.round(w.demand)} of ${Math.round(w.allowed)} in a window  part ${Math.round(w.share * PERCENT)}%`)
   ]
 }
 
 function describeService ({ service, primary, term, isTrusted, acknowledged, endpoints, doubtful }: GatewayStatus['services'][number]): string {
-  const leader = primary === null ? 'no primary' : `primary ${primary} term ${term}${isTrusted ? '' : ' (not proven now)'}`
-  const position = acknowledged === null ? '' : `  acknowledged ${acknowledged.term}/${acknowledged.index}`
-  const doubts = doubtful.map(d => `  ${d.endpoint}: ${d.doubts.join(', ')}`).join('')
-  return `  service ${service}  ${leader}${position}  ${endpoints} endpoints${doubts}`
+  const primaryText = primary === null ? 'no primary' : `primary ${primary} term ${term}${isTrusted ? '' : ' (not proven now)'}`
+  const positionText = acknowledged === null ? '' : `  acknowledged ${acknowledged.term}/${acknowledged.index}`
+  const doubtsText = doubtful.map(d => `  ${d.endpoint}: ${d.doubts.join(', ')}`).join('')
+  return `  service ${service}  ${primaryText}${positionText}  ${endpoints} endpoints${doubtsText}`
 }
 
 export const gatewayCommands = [GatewaysCommand]
--- a/packages/ctl/src/commands/key-commands.ts
+++ b/packages/ctl/src/commands/key-commands.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto'
 import { computeKeyDigest, keyRingSchema, type KeyRing } from '@camphorpitch/wire'
 import { Command, Option } from 'clipanion'
-import { formatNearest } from '../document-check.ts'
+import { formatSuggestion } from '../document-check.ts'
 import { NotFoundError } from '../errors.ts'
 import { updateObject } from '../object-edits.ts'
 import { PlatformCommand, type CommandOutput } from './platform-command.ts'
@@ -20,7 +20,7 @@
     const client = this.createClient()
     if (await client.findObject('contract', this.workspace) === null) {
       const { objects } = await client.listObjects('contract')
-      throw new NotFoundError(`no contract '${this.workspace}'${formatNearest(this.workspace, objects.map(o => o.name))}`)
+      throw new NotFoundError(`no contract '${this.workspace}'${formatSuggestion(this.workspace, objects.map(o => o.name))}`)
     }
     const secret = randomBytes(KEY_BYTES).toString('base64url')
     const key = { id: `k-${randomBytes(KEY_ID_BYTES).toString('hex')}`, digest: computeKeyDigest(secret), grantedAt: new Date().toISOString(), note: this.note }
@@ -36,11 +36,11 @@
   id = Option.String()
 
   override async run (): Promise<CommandOutput> {
-    let wasHeld = false
+    let wasFound = false
     await updateObject(this.createClient(), 'key-ring', this.workspace, ring => {
       // After a conflict the ring may already lack the key: by this command's own write, its answer lost.
-      if (!wasHeld) checkHeld(ring, this.workspace, this.id)
-      wasHeld = true
+      if (!wasFound) checkKeyExists(ring, this.workspace, this.id)
+      wasFound = true
       return { workspace: this.workspace, keys: (ring?.keys ?? []).filter(k => k.id !== this.id) }
     })
     return { lines: [`key '${this.id}' of '${this.workspace}': withdrawn`], value: { workspace: this.workspace, id: this.id, withdrawn: true } }
@@ -67,9 +67,9 @@
 }
 
 /** @throws NotFoundError when the ring does not hold the key */
-function checkHeld (ring: KeyRing | null, workspace: string, id: string): void {
+function checkKeyExists (ring: KeyRing | null, workspace: string, id: string): void {
   const keys = ring?.keys ?? []
-  if (!keys.some(k => k.id === id)) throw new NotFoundError(`'${workspace}' has no key '${id}'${formatNearest(id, keys.map(k => k.id))}`)
+  if (!keys.some(k => k.id === id)) throw new NotFoundError(`'${workspace}' has no key '${id}'${formatSuggestion(id, keys.map(k => k.id))}`)
 }
 
 export const keyCommands = [KeyGrantCommand, KeyWithdrawCommand, KeyListCommand]
--- a/packages/ctl/src/document-check.ts
+++ b/packages/ctl/src/document-check.ts
@@ -6,7 +6,7 @@
 export type DocumentKind = 'contract' | 'database'
 export type Document<K extends DocumentKind> = K extends 'contract' ? Contract : Database
 
-const schemas = { contract: contractSchema, database: databaseSchema }
+const documentSchemas = { contract: contractSchema, database: databaseSchema }
 
 interface JsonSchema {
   properties?: Record<string, JsonSchema>
@@ -16,7 +16,7 @@
 
 /** The JSON Schema of a document as operators write it, defaults left out where they apply. */
 export function createDocumentSchema (kind: DocumentKind): Record<string, unknown> {
-  return { title: `camphorpitch ${kind}`, ...z.toJSONSchema(schemas[kind], { io: 'input' }) }
+  return { title: `camphorpitch ${kind}`, ...z.toJSONSchema(documentSchemas[kind], { io: 'input' }) }
 }
 
 /**
@@ -25,7 +25,7 @@
  * @throws SettingsError with all problems
  */
 export function checkDocument<K extends DocumentKind> (kind: K, value: unknown, source: string): Document<K> {
-  const result = schemas[kind].safeParse(value)
+  const result = documentSchemas[kind].safeParse(value)
   if (result.success) return result.data as Document<K>
   const lines = result.error.issues.flatMap(i => describeIssue(kind, i).map(text => `${source}: ${text}`))
   throw new SettingsError(lines.join('\n'))
@@ -33,13 +33,13 @@
 
 function describeIssue (kind: DocumentKind, issue: z.core.$ZodIssue): string[] {
   if (issue.code !== 'unrecognized_keys') return [`${formatPath(issue.path)}: ${issue.message}`]
-  const known = listFields(createDocumentSchema(kind), issue.path)
-  return issue.keys.map(key => `${formatPath([...issue.path, key])}: unknown field${formatNearest(key, known)}`)
+  const fieldNames = listFieldNames(createDocumentSchema(kind), issue.path)
+  return issue.keys.map(key => `${formatPath([...issue.path, key])}: unknown field${formatSuggestion(key, fieldNames)}`)
 }
 
 /** @example formatNearest('rat', ['rate']) // "; did you mean 'rate'?" */
-export function formatNearest (name: string, known: readonly string[]): string {
-  const nearest = findNearestName(name, known)
+export function formatSuggestion (name: string, candidates: readonly string[]): string {
+  const nearest = findNearestName(name, candidates)
   return nearest === undefined ? '' : `; did you mean '${nearest}'?`
 }
 
@@ -47,15 +47,15 @@
   return path.length === 0 ? '(root)' : path.map(String).join('.')
 }
 
-function listFields (schema: JsonSchema, path: readonly PropertyKey[]): string[] {
+function listFieldNames (schema: JsonSchema, path: readonly PropertyKey[]): string[] {
   let current: JsonSchema | undefined = schema
-  for (const part of path) current = findField(current, String(part))
+  for (const part of path) current = findFieldSchema(current, String(part))
   return Object.keys(current?.properties ?? {})
 }
 
-function findField (schema: JsonSchema | undefined, name: string): JsonSchema | undefined {
-  const other = schema?.additionalProperties
-  return schema?.properties?.[name] ?? (typeof other === 'object' ? other : schema?.items)
+function findFieldSchema (schema: JsonSchema | undefined, name: string): JsonSchema | undefined {
+  const additionalFields = schema?.additionalProperties
+  return schema?.properties?.[name] ?? (typeof additionalFields === 'object' ? additionalFields : schema?.items)
 }
 
 /**
@@ -63,10 +63,10 @@
  *
  * @throws SettingsError with each unknown database and the nearest name
  */
-export function checkDatabases (contract: Contract, known: readonly string[], source: string): void {
-  const unknown = Object.keys(contract.databases).filter(d => !known.includes(d))
-  if (unknown.length === 0) return
-  const lines = unknown.map(d => `${source}: databases.${d}: unknown database${formatNearest(d, known)}`)
+export function checkDatabaseNames (contract: Contract, existingDatabases: readonly string[], source: string): void {
+  const unknownDatabases = Object.keys(contract.databases).filter(d => !existingDatabases.includes(d))
+  if (unknownDatabases.length === 0) return
+  const lines = unknownDatabases.map(d => `${source}: databases.${d}: unknown database${formatSuggestion(d, existingDatabases)}`)
   throw new SettingsError(lines.join('\n'))
 }
 
--- a/packages/ctl/src/nearest-name.ts
+++ b/packages/ctl/src/nearest-name.ts
@@ -1,5 +1,5 @@
 /** Edits by which a name may differ from the one that is offered for it. */
-const MAX_DISTANCE = 3
+const MAX_EDIT_DISTANCE = 3
 
 /**
  * Finds the candidate that differs from `name` by the fewest edits, `undefined` when none is near.
@@ -8,20 +8,20 @@
  */
 export function findNearestName (name: string, candidates: readonly string[]): string | undefined {
   const ranked = candidates
-    .map(candidate => ({ candidate, distance: computeDistance(name.toLowerCase(), candidate.toLowerCase()) }))
-    .filter(r => r.distance <= Math.min(MAX_DISTANCE, Math.ceil(name.length / 2)))
+    .map(candidate => ({ candidate, distance: computeEditDistance(name.toLowerCase(), candidate.toLowerCase()) }))
+    .filter(r => r.distance <= Math.min(MAX_EDIT_DISTANCE, Math.ceil(name.length / 2)))
   ranked.sort((a, b) => a.distance - b.distance)
   return ranked[0]?.candidate
 }
 
 /** Levenshtein distance, row by row (Wagner and Fischer, 1974). */
-function computeDistance (a: string, b: string): number {
+function computeEditDistance (a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, j) => j)
   for (let i = 1; i <= a.length; i++) {
     const next = [i]
     for (let j = 1; j <= b.length; j++) {
-      const substituted = (row[j - 1] ?? 0) + (a[i - 1] === b[j - 1] ? 0 : 1)
-      next.push(Math.min(substituted, (row[j] ?? 0) + 1, (next[j - 1] ?? 0) + 1))
+      const substitutionDistance = (row[j - 1] ?? 0) + (a[i - 1] === b[j - 1] ? 0 : 1)
+      next.push(Math.min(substitutionDistance, (row[j] ?? 0) + 1, (next[j - 1] ?? 0) + 1))
     }
     row = next
   }
--- a/packages/ctl/src/object-edits.test.ts
+++ b/packages/ctl/src/object-edits.test.ts
@@ -57,41 +57,41 @@
 
 type Edit = (client: RacingClient, change: (ring: KeyRing | null) => KeyRing) => Promise<unknown>
 
-const editSafely: Edit = async (client, change) => await updateObject(client, 'key-ring', 'ash', change)
+const editConditionally: Edit = async (client, change) => await updateObject(client, 'key-ring', 'ash', change)
 
 /** Sends what it made of an earlier read, at whatever version the object has by then. */
-const editNaively: Edit = async (client, change) => {
+const editWithLatestVersion: Edit = async (client, change) => {
   const read = await client.findObject()
   const value = change(read?.value as KeyRing | null)
   const latest = await client.findObject()
   return await client.writeObject('key-ring', 'ash', latest?.version ?? 0, value)
 }
 
-function createRace (edit: Edit) {
+function createRaceProperty (edit: Edit) {
   const arbitraries = [fc.scheduler(), fc.nat(), fc.integer({ min: 2, max: 5 }), fc.constantFrom(0, 0.3, 0.6)] as const
-  return fc.asyncProperty(...arbitraries, async (scheduler, seed, editors, lossRate) => {
+  return fc.asyncProperty(...arbitraries, async (scheduler, seed, editorCount, lossRate) => {
     const client = new RacingClient(scheduler, seed, lossRate)
-    const accepted: string[] = []
-    const edits = Array.from({ length: editors }, async (_, i) => {
+    const acceptedKeyIds: string[] = []
+    const edits = Array.from({ length: editorCount }, async (_, i) => {
       const key = { id: `k-${i}`, digest: String(i).repeat(40), grantedAt: '', note: '' }
       await edit(client, ring => ({ workspace: 'ash', keys: [...(ring?.keys ?? []).filter(k => k.id !== key.id), key] }))
-      accepted.push(key.id)
+      acceptedKeyIds.push(key.id)
     })
     await scheduler.waitFor(Promise.allSettled(edits))
     await scheduler.waitAll()
-    const held = (client.stored?.value as KeyRing | undefined)?.keys.map(k => k.id) ?? []
-    expect(held).include.members(accepted)
-    expect(new Set(held).size).equal(held.length)
+    const storedKeyIds = (client.stored?.value as KeyRing | undefined)?.keys.map(k => k.id) ?? []
+    expect(storedKeyIds).include.members(acceptedKeyIds)
+    expect(new Set(storedKeyIds).size).equal(storedKeyIds.length)
   })
 }
 
 describe('object edits', () => {
   it('lose no accepted edit among racing editors whose answers get lost', async () => {
-    await fc.assert(createRace(editSafely), { numRuns: RUNS, seed: SEED })
+    await fc.assert(createRaceProperty(editConditionally), { numRuns: RUNS, seed: SEED })
   })
 
   it('the same check fails for naive edits', async () => {
-    expect((await fc.check(createRace(editNaively), { numRuns: RUNS, seed: SEED, endOnFailure: true })).failed).equal(true)
+    expect((await fc.check(createRaceProperty(editWithLatestVersion), { numRuns: RUNS, seed: SEED, endOnFailure: true })).failed).equal(true)
   })
 
   it('accept at most one of the edits made on the same version, and say so truly', async () => {
--- a/packages/ctl/src/object-edits.ts
+++ b/packages/ctl/src/object-edits.ts
@@ -18,12 +18,12 @@
  * @throws UnknownEditError when the outcome could not be looked up
  * @example await replaceObject(client, 'contract', 'brass-lab', 3, contract)
  */
-export async function replaceObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, version: number, value: ObjectValue<K>): Promise<StoredObject> {
+export async function replaceObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, expectedVersion: number, value: ObjectValue<K>): Promise<StoredObject> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     try {
-      return await client.writeObject(kind, name, version, value as z.input<typeof objectSchemas[K]>)
+      return await client.writeObject(kind, name, expectedVersion, value as z.input<typeof objectSchemas[K]>)
     } catch (error) {
-      const written = await findWritten(client, kind, name, version, value, error)
+      const written = await findWrittenObject(client, kind, name, expectedVersion, value, error)
       if (written !== null) return written
     }
   }
@@ -31,16 +31,16 @@
 }
 
 /** After a failed write: the object if the write took effect, `null` if it may be sent again. */
-async function findWritten<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, version: number, value: ObjectValue<K>, error: unknown): Promise<StoredObject | null> {
+async function findWrittenObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, expectedVersion: number, value: ObjectValue<K>, error: unknown): Promise<StoredObject | null> {
   if (!(error instanceof ConflictError) && !(error instanceof UnknownOutcomeError)) throw error
-  const current = await findCurrent(client, kind, name)
-  if (current !== null && current.version > version && isDeepStrictEqual(current.value, value)) return current
-  const isUnchanged = current === null ? version === 0 : current.version === version
+  const current = await findCurrentObject(client, kind, name)
+  if (current !== null && current.version > expectedVersion && isDeepStrictEqual(current.value, value)) return current
+  const isUnchanged = current === null ? expectedVersion === 0 : current.version === expectedVersion
   if (isUnchanged && error instanceof UnknownOutcomeError) return null
-  throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${version}, found ${current?.version ?? 'none'}; nothing of theirs was overwritten`)
+  throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${expectedVersion}, found ${current?.version ?? 'none'}; nothing of theirs was overwritten`)
 }
 
-async function findCurrent (client: ObjectClient, kind: ObjectKind, name: string): Promise<StoredObject | null> {
+async function findCurrentObject (client: ObjectClient, kind: ObjectKind, name: string): Promise<StoredObject | null> {
   for (let attempt = 1; ; attempt++) {
     try {
       return await client.findObject(kind, name)
@@ -72,15 +72,15 @@
 }
 
 /** Deletes an object if it still has `version`; a lost answer is looked up. */
-export async function removeObject (client: ObjectClient, kind: ObjectKind, name: string, version: number): Promise<void> {
+export async function removeObject (client: ObjectClient, kind: ObjectKind, name: string, expectedVersion: number): Promise<void> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     try {
-      return await client.deleteObject(kind, name, version)
+      return await client.deleteObject(kind, name, expectedVersion)
     } catch (error) {
       if (!(error instanceof ConflictError) && !(error instanceof UnknownOutcomeError)) throw error
-      const current = await findCurrent(client, kind, name)
+      const current = await findCurrentObject(client, kind, name)
       if (current === null) return
-      if (current.version !== version || error instanceof ConflictError) throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${version}, found ${current.version}`)
+      if (current.version !== expectedVersion || error instanceof ConflictError) throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${expectedVersion}, found ${current.version}`)
     }
   }
   throw new UnknownEditError(`${kind} '${name}': the object service keeps losing its answers`)
