--- a/packages/ctl/src/commands/contract-commands.ts
+++ b/packages/ctl/src/commands/contract-commands.ts
@@ -6,13 +6,13 @@
 
 class ContractCheckCommand extends CheckCommand<'contract'> {
   static override paths = [['contract', 'check']]
-  static override usage = Command.Usage({ category, description: 'Checks a contract file; each problem is named by its path.' })
+  static override usage = Command.Usage({ category, description: 'Checks a contract file and prints each problem with the path of its field.' })
   protected readonly kind = 'contract'
 }
 
 class ContractApplyCommand extends ApplyCommand<'contract'> {
   static override paths = [['contract', 'apply']]
-  static override usage = Command.Usage({ category, description: 'Puts a contract in force; a conflicting edit by somebody else is shown and kept.' })
+  static override usage = Command.Usage({ category, description: 'Stores a contract, which puts it in force; a conflicting edit by another operator is shown and not overwritten.' })
   protected readonly kind = 'contract'
 }
 
@@ -40,7 +40,7 @@
 
 class ContractDeleteCommand extends DeleteCommand<'contract'> {
   static override paths = [['contract', 'delete']]
-  static override usage = Command.Usage({ category, description: 'Deletes a contract: its callers are refused from then on.' })
+  static override usage = Command.Usage({ category, description: 'Deletes a contract; from then on, clients of its workspace are refused.' })
   protected readonly kind = 'contract'
 }
 
--- a/packages/ctl/src/commands/document-commands.ts
+++ b/packages/ctl/src/commands/document-commands.ts
@@ -6,7 +6,7 @@
 import { removeObject, replaceObject } from '../object-edits.ts'
 import { PlatformCommand, type CommandOutput } from './platform-command.ts'
 
-/** A command on documents of one kind. */
+/** Base class of the commands on documents of one kind. */
 abstract class DocumentCommand<K extends DocumentKind> extends PlatformCommand {
   protected abstract readonly kind: K
 
@@ -25,9 +25,9 @@
     checkDatabaseNames(document as Contract, objects.map(o => o.name), file)
   }
 
-  /** @throws NotFoundError offering the nearest name */
+  /** @throws NotFoundError that suggests the nearest name */
   protected async findExisting (client: ObjectClient, name: string): Promise<StoredObject> {
-    if (!nameSchema.safeParse(name).success) throw new SettingsError(`'${name}' is no name: expected lower-case letters, digits and hyphens`)
+    if (!nameSchema.safeParse(name).success) throw new SettingsError(`'${name}': not a valid name, expected lower-case letters, digits and hyphens`)
     const object = await client.findObject(this.kind, name)
     if (object !== null) return object
     const { objects } = await client.listObjects(this.kind)
@@ -41,7 +41,7 @@
   override async run (): Promise<CommandOutput> {
     const document = this.readDocument(this.file)
     if (this.platform !== undefined) await this.checkReferences(this.createClient(), document, this.file)
-    const uncheckedNote = this.platform === undefined ? '; names of databases not checked, for that give --platform' : ''
+    const uncheckedNote = this.platform === undefined ? '; names of databases not checked (this needs --platform)' : ''
     return { lines: [`${this.file}: valid${uncheckedNote}`], value: { valid: true } }
   }
 }
@@ -49,10 +49,14 @@
 export abstract class ApplyCommand<K extends DocumentKind> extends DocumentCommand<K> {
   file = Option.String()
 
-  /** @throws SettingsError when a document may not follow the one in force */
+  /**
+   * Checks that a document may replace the one in force; accepts every change unless a subclass overrides it.
+   *
+   * @throws SettingsError when it may not
+   */
   protected validateChange (_before: Document<K>, _after: Document<K>, _file: string): void {}
 
-  version = Option.String('--version', { description: 'write only if the stored object has this version; 0 for none' })
+  version = Option.String('--version', { description: 'write only if the stored object has this version; 0 if there must be none' })
 
   override async run (): Promise<CommandOutput> {
     const document = this.readDocument(this.file)
@@ -128,10 +132,10 @@
 
 function createConflictError (kind: DocumentKind, name: string, expectedVersion: number, current: StoredObject | null, changes: FieldChange[]): Error {
   const lines = [`${kind} '${name}': expected version ${expectedVersion}, found ${current?.version ?? 'none'}; nothing was written`]
-  return new EditConflictError([...lines, 'the stored one and the file differ in:', ...changes.map(formatChange)].join('\n'))
+  return new EditConflictError([...lines, 'the stored document and the file differ in:', ...changes.map(formatChange)].join('\n'))
 }
 
-/** @example formatChange({ path: 'rate.burst', from: 10, to: 20 }) // '  rate.burst: 10 -> 20' */
+/** Formats a changed field as an indented line. @example formatChange({ path: 'rate.burst', from: 10, to: 20 }) // '  rate.burst: 10 -> 20' */
 function formatChange ({ path, from, to }: FieldChange): string {
   return `  ${path}: ${JSON.stringify(from) ?? 'absent'} -> ${JSON.stringify(to) ?? 'absent'}`
 }
--- a/packages/ctl/src/commands/fleet-commands.ts
+++ b/packages/ctl/src/commands/fleet-commands.ts
@@ -9,7 +9,7 @@
 
 class FleetInitCommand extends PlatformCommand {
   static override paths = [['fleet', 'init']]
-  static override usage = Command.Usage({ category, description: 'Creates what a fleet needs before its first start; does nothing where it exists.' })
+  static override usage = Command.Usage({ category, description: 'Creates the objects that a fleet needs before its first start; objects that exist stay unchanged.' })
 
   override async run (): Promise<CommandOutput> {
     const client = this.createClient()
@@ -24,7 +24,7 @@
 
 class StatusCommand extends PlatformCommand {
   static override paths = [['status']]
-  static override usage = Command.Usage({ category, description: 'Shows objects with their versions and the VMs, as the object service knows them.' })
+  static override usage = Command.Usage({ category, description: 'Shows the objects with their versions, and the VMs, as stored in the object service.' })
 
   override async run (): Promise<CommandOutput> {
     const client = this.createClient()
@@ -38,6 +38,7 @@
   }
 }
 
+/** Lists the versions of all objects, and the highest revision of the object service that was seen. */
 async function listVersions (client: ObjectClient): Promise<{ revision: number, rows: Array<{ kind: string, name: string, version: number }> }> {
   const lists = await Promise.all(objectKinds.map(async kind => await client.listObjects(kind)))
   const rows = lists.flatMap(l => l.objects.map(({ kind, name, version }) => ({ kind, name, version })))
--- a/packages/ctl/src/commands/gateway-commands.ts
+++ b/packages/ctl/src/commands/gateway-commands.ts
@@ -2,21 +2,21 @@
 import { Command, Option } from 'clipanion'
 import { ExitCode } from '../errors.ts'
 
-/** Longest wait for a gateway's answer, in milliseconds; one that takes longer would not serve clients either. */
+/** A gateway that takes longer to respond would not serve clients either. */
 const RESPONSE_TIMEOUT_MS = 2_000
-/** Workspaces shown for each gateway; `--json` shows all that it names. */
+/** Workspaces shown for each gateway; `--json` shows all that its status lists. */
 const MAX_SHOWN_WORKSPACES = 5
 const PERCENT = 100
 
 type StatusResult = { address: string, status: GatewayStatus } | { address: string, error: string }
 
-/** Shows what gateways believe, from their metrics addresses; asks nothing of the platform's store. */
+/** Shows the status that gateways serve at their metrics addresses; does not use the object service. */
 class GatewaysCommand extends Command {
   static override paths = [['gateways']]
   static override usage = Command.Usage({
     category: 'Fleet',
-    description: 'Shows what gateways believe: versions, primaries, terms, positions, use of limits, doubtful endpoints.',
-    details: `Exit codes: ${ExitCode.ok} all answered, ${ExitCode.unknown} one or more did not.`,
+    description: 'Shows the status of gateways as each of them sees it: configuration version, primaries, terms, positions, use of limits, doubtful endpoints.',
+    details: `Exit codes: ${ExitCode.ok} all gateways responded with a valid status, ${ExitCode.unknown} one or more did not.`,
     examples: [['Two gateways', 'camphorpitch gateways 10.0.0.5:9464 10.0.0.6:9464']]
   })
 
@@ -34,9 +34,9 @@
 async function requestStatus (address: string): Promise<StatusResult> {
   try {
     const response = await fetch(`http://${address}/status`, { signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS) })
-    if (!response.ok) return { address, error: `status ${response.status}` }
+    if (!response.ok) return { address, error: `HTTP status ${response.status}` }
     const parsed = gatewayStatusSchema.safeParse(await response.json())
-    return parsed.success ? { address, status: parsed.data } : { address, error: `not a gateway's status: ${parsed.error.issues[0]?.path.join('.') ?? ''}` }
+    return parsed.success ? { address, status: parsed.data } : { address, error: `not a valid gateway status: ${parsed.error.issues[0]?.path.join('.') ?? ''}` }
   } catch (error) {
     const cause = error instanceof Error && error.cause instanceof Error ? error.cause : error
     return { address, error: describeError(cause) }
@@ -44,17 +44,17 @@
 }
 
 function describeResult (result: StatusResult): string[] {
-  if ('error' in result) return [`${result.address}  no answer: ${result.error}`]
+  if ('error' in result) return [`${result.address}  status request failed: ${result.error}`]
   const { vm, isReady, configurationVersion, vms, sessions, services, workspaces } = result.status
   return [
-    `${vm}  ${isReady ? 'ready' : 'not ready'}  configuration ${configurationVersion}  hears ${vms.heard} of ${vms.known} vms  ${sessions} sessions`,
+    `${vm}  ${isReady ? 'ready' : 'not ready'}  configuration ${configurationVersion}  ${vms.heard} of ${vms.known} other vms responsive  ${sessions} sessions`,
     ...services.map(describeService),
-    ...workspaces.slice(0, MAX_SHOWN_WORKSPACES).map(w => `  workspace ${w.workspace}  asks for ${Math.round(w.demand)} of ${Math.round(w.allowed)} in a window  part ${Math.round(w.share * PERCENT)}%`)
+    ...workspaces.slice(0, MAX_SHOWN_WORKSPACES).map(w => `  workspace ${w.workspace}  demand ${Math.round(w.demand)} of ${Math.round(w.allowed)} operations per window  share ${Math.round(w.share * PERCENT)}%`)
   ]
 }
 
 function describeService ({ service, primary, term, isTrusted, acknowledged, endpoints, doubtful }: GatewayStatus['services'][number]): string {
-  const primaryText = primary === null ? 'no primary' : `primary ${primary} term ${term}${isTrusted ? '' : ' (not proven now)'}`
+  const primaryText = primary === null ? 'no primary' : `primary ${primary} term ${term}${isTrusted ? '' : ' (leadership not verified)'}`
   const positionText = acknowledged === null ? '' : `  acknowledged ${acknowledged.term}/${acknowledged.index}`
   const doubtsText = doubtful.map(d => `  ${d.endpoint}: ${d.doubts.join(', ')}`).join('')
   return `  service ${service}  ${primaryText}${positionText}  ${endpoints} endpoints${doubtsText}`
--- a/packages/ctl/src/commands/key-commands.ts
+++ b/packages/ctl/src/commands/key-commands.ts
@@ -12,7 +12,7 @@
 
 class KeyGrantCommand extends PlatformCommand {
   static override paths = [['key', 'grant']]
-  static override usage = Command.Usage({ category, description: 'Grants a new key to a workspace and prints it, this once: only its digest is stored.' })
+  static override usage = Command.Usage({ category, description: 'Grants a new key to a workspace and prints it. It cannot be shown again: only its digest is stored.' })
   workspace = Option.String()
   note = Option.String('--note', '', { description: 'what the key is for, up to 200 characters' })
 
@@ -31,14 +31,14 @@
 
 class KeyWithdrawCommand extends PlatformCommand {
   static override paths = [['key', 'withdraw']]
-  static override usage = Command.Usage({ category, description: 'Withdraws a key; its connected callers start nothing more within seconds.' })
+  static override usage = Command.Usage({ category, description: 'Withdraws a key; within seconds, clients that are connected with it can start no more statements.' })
   workspace = Option.String()
   id = Option.String()
 
   override async run (): Promise<CommandOutput> {
     let wasFound = false
     await updateObject(this.createClient(), 'key-ring', this.workspace, ring => {
-      // After a conflict the ring may already lack the key: by this command's own write, its answer lost.
+      // On a retry the key may be missing because an earlier write of this command took effect and its response was lost.
       if (!wasFound) checkKeyExists(ring, this.workspace, this.id)
       wasFound = true
       return { workspace: this.workspace, keys: (ring?.keys ?? []).filter(k => k.id !== this.id) }
@@ -60,13 +60,14 @@
   }
 }
 
+/** Returns the key ring with `key` added; a key that an earlier attempt already added is not added twice. */
 function addKey (ring: KeyRing | null, workspace: string, key: KeyRing['keys'][number]): KeyRing {
   const keys = ring?.keys ?? []
   if (keys.some(k => k.id === key.id)) return { workspace, keys }
   return { workspace, keys: [...keys, key] }
 }
 
-/** @throws NotFoundError when the ring does not hold the key */
+/** @throws NotFoundError when the key ring does not contain the key */
 function checkKeyExists (ring: KeyRing | null, workspace: string, id: string): void {
   const keys = ring?.keys ?? []
   if (!keys.some(k => k.id === id)) throw new NotFoundError(`'${workspace}' has no key '${id}'${formatSuggestion(id, keys.map(k => k.id))}`)
--- a/packages/ctl/src/commands/platform-command.ts
+++ b/packages/ctl/src/commands/platform-command.ts
@@ -2,17 +2,18 @@
 import { Command, Option } from 'clipanion'
 import { ControlError, ExitCode, selectExitCode } from '../errors.ts'
 
-/** What a command shows: lines for people, or a value for `--json`. */
+/** Output of a command: lines of text, or with `--json` a value. */
 export interface CommandOutput {
   lines: string[]
   value: unknown
 }
 
-/** A command of `camphorpitch`; errors become exit codes, see `ExitCode`. */
+/** Base class of the commands that use the object service. Prints the output or error of `run` and returns an `ExitCode`. */
 export abstract class PlatformCommand extends Command {
   platform = Option.String('--platform', { description: 'address of the object service, such as http://10.0.0.5:7000; default from CAMPHORPITCH_PLATFORM', env: 'CAMPHORPITCH_PLATFORM' })
   json = Option.Boolean('--json', false, { description: 'print JSON' })
 
+  /** Runs the command; a thrown error is printed and determines the exit code. */
   abstract run (): Promise<CommandOutput>
 
   async execute (): Promise<number> {
@@ -26,7 +27,7 @@
 
   /** @throws SettingsError when no address is given */
   protected createClient (): ObjectClient {
-    if (this.platform === undefined) throw new SettingsError('give the object service by --platform or CAMPHORPITCH_PLATFORM')
+    if (this.platform === undefined) throw new SettingsError('address of the object service is missing: set --platform or CAMPHORPITCH_PLATFORM')
     return new ObjectClient({ url: this.platform })
   }
 
--- a/packages/ctl/src/document-check.ts
+++ b/packages/ctl/src/document-check.ts
@@ -14,14 +14,16 @@
   items?: JsonSchema
 }
 
-/** The JSON Schema of a document as operators write it, defaults left out where they apply. */
+/** Creates the JSON Schema of a document as operators write it: fields that have a default are optional. */
 export function createDocumentSchema (kind: DocumentKind): Record<string, unknown> {
   return { title: `camphorpitch ${kind}`, ...z.toJSONSchema(documentSchemas[kind], { io: 'input' }) }
 }
 
 /**
- * Checks a document, each problem on a line with its path and, for an unknown field, the nearest name.
+ * Checks a document against the schema of its kind and fills in defaults. The error message has a line for each
+ * problem, with the path of the field and, for an unknown field, the nearest known name.
  *
+ * @param source file name that each line of the message begins with
  * @throws SettingsError with all problems
  */
 export function checkDocument<K extends DocumentKind> (kind: K, value: unknown, source: string): Document<K> {
@@ -37,7 +39,11 @@
   return issue.keys.map(key => `${formatPath([...issue.path, key])}: unknown field${formatSuggestion(key, fieldNames)}`)
 }
 
-/** @example formatNearest('rat', ['rate']) // "; did you mean 'rate'?" */
+/**
+ * Formats a suggestion that can be added to an error message; empty when no candidate is near.
+ *
+ * @example formatSuggestion('rat', ['rate']) // "; did you mean 'rate'?"
+ */
 export function formatSuggestion (name: string, candidates: readonly string[]): string {
   const nearest = findNearestName(name, candidates)
   return nearest === undefined ? '' : `; did you mean '${nearest}'?`
@@ -59,7 +65,7 @@
 }
 
 /**
- * Checks that a contract names databases that exist.
+ * Checks that all databases which a contract names exist.
  *
  * @throws SettingsError with each unknown database and the nearest name
  */
@@ -76,7 +82,7 @@
   to: unknown
 }
 
-/** Lists the fields by which two documents differ; absent is `undefined`. */
+/** Lists the fields in which two documents differ; the value of an absent field is `undefined`. */
 export function listChanges (from: unknown, to: unknown, path: string[] = []): FieldChange[] {
   if (!isRecord(from) || !isRecord(to)) {
     return JSON.stringify(from) === JSON.stringify(to) ? [] : [{ path: formatPath(path), from, to }]
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -7,6 +7,6 @@
 
 await runCommandLine({
   binaryName: 'camphorpitch',
-  binaryLabel: 'camphorpitch operators\' command',
+  binaryLabel: 'camphorpitch operator commands',
   commands: [...contractCommands, ...databaseCommands, ...keyCommands, ...fleetCommands, ...gatewayCommands]
 })
--- a/packages/ctl/src/nearest-name.ts
+++ b/packages/ctl/src/nearest-name.ts
@@ -1,8 +1,9 @@
-/** Edits by which a name may differ from the one that is offered for it. */
+/** Edits by which a suggested name may differ at most from the given one. */
 const MAX_EDIT_DISTANCE = 3
 
 /**
- * Finds the candidate that differs from `name` by the fewest edits, `undefined` when none is near.
+ * Finds the candidate that differs from `name` by the fewest edits, ignoring case. Returns `undefined`
+ * when each candidate differs by more than `MAX_EDIT_DISTANCE` edits or by more than half of the name's length.
  *
  * @example findNearestName('statmentTimeoutMs', ['rate', 'statementTimeoutMs']) // 'statementTimeoutMs'
  */
@@ -14,7 +15,7 @@
   return ranked[0]?.candidate
 }
 
-/** Levenshtein distance, row by row (Wagner and Fischer, 1974). */
+/** Computes the Levenshtein distance one matrix row at a time (Wagner and Fischer, 1974). */
 function computeEditDistance (a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, j) => j)
   for (let i = 1; i <= a.length; i++) {
--- a/packages/ctl/src/object-edits.ts
+++ b/packages/ctl/src/object-edits.ts
@@ -3,19 +3,21 @@
 import type { z } from 'zod'
 import { EditConflictError, UnknownEditError } from './errors.ts'
 
-/** Attempts at one edit, look-ups of lost answers included. */
+/** Attempts at one write, at one edit, and at one read that finds out whether a write took effect. */
 const MAX_ATTEMPTS = 10
 
 export type ObjectValue<K extends ObjectKind> = z.output<typeof objectSchemas[K]>
 
 /**
- * Replaces an object if it still has `version`; 0 creates it.
+ * Replaces an object if it still has `expectedVersion`; 0 creates it.
  *
- * A lost answer is looked up. If the object has not moved on, the write is sent again: it is
- * conditional on the same version, so both together take effect at most once.
+ * If the response is lost, the object is read to find out whether the write took effect. If the object
+ * is unchanged, the write is sent again: both writes are conditional on the same version, so that
+ * together they take effect at most once.
  *
- * @throws EditConflictError when somebody else changed the object
- * @throws UnknownEditError when the outcome could not be looked up
+ * @returns the object as stored
+ * @throws EditConflictError when another client changed the object
+ * @throws UnknownEditError when the outcome remains unknown
  * @example await replaceObject(client, 'contract', 'brass-lab', 3, contract)
  */
 export async function replaceObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, expectedVersion: number, value: ObjectValue<K>): Promise<StoredObject> {
@@ -27,34 +29,45 @@
       if (written !== null) return written
     }
   }
-  throw new UnknownEditError(`${kind} '${name}': the object service keeps losing its answers; look before you repeat the edit`)
+  throw new UnknownEditError(`${kind} '${name}': the responses to all attempts were lost; check the object before you repeat the edit`)
 }
 
-/** After a failed write: the object if the write took effect, `null` if it may be sent again. */
+/**
+ * Finds out whether a failed write took effect.
+ *
+ * @returns the object if the write took effect, `null` if the object is unchanged and the write may be sent again
+ * @throws EditConflictError when another client changed the object
+ */
 async function findWrittenObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, expectedVersion: number, value: ObjectValue<K>, error: unknown): Promise<StoredObject | null> {
   if (!(error instanceof ConflictError) && !(error instanceof UnknownOutcomeError)) throw error
   const current = await findCurrentObject(client, kind, name)
   if (current !== null && current.version > expectedVersion && isDeepStrictEqual(current.value, value)) return current
   const isUnchanged = current === null ? expectedVersion === 0 : current.version === expectedVersion
   if (isUnchanged && error instanceof UnknownOutcomeError) return null
-  throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${expectedVersion}, found ${current?.version ?? 'none'}; nothing of theirs was overwritten`)
+  throw new EditConflictError(`${kind} '${name}': changed by another client, expected version ${expectedVersion}, found ${current?.version ?? 'none'}; the other change was not overwritten`)
 }
 
+/** Reads an object after a failed write, and retries while the object service is unavailable. */
 async function findCurrentObject (client: ObjectClient, kind: ObjectKind, name: string): Promise<StoredObject | null> {
   for (let attempt = 1; ; attempt++) {
     try {
       return await client.findObject(kind, name)
     } catch (cause) {
       if (attempt < MAX_ATTEMPTS && cause instanceof PlatformError) continue
-      throw new UnknownEditError(`${kind} '${name}': the answer was lost and cannot be looked up`, { cause })
+      throw new UnknownEditError(`${kind} '${name}': cannot read the object to find out whether the write took effect`, { cause })
     }
   }
 }
 
 /**
- * Changes an object by reading it, applying `change` and writing it back, as often as others come in
- * between. `change` must make sense on any state: it gets `null` where there is no object.
+ * Changes an object by reading it, applying `change` and writing the result back. Reads and applies
+ * `change` again, up to `MAX_ATTEMPTS` times, when another client changed the object in between.
  *
+ * @param change gets `null` where there is no object; it must work on any state of the object, since it may run
+ *   more than once, also after an earlier write of its own took effect
+ * @returns the object as stored
+ * @throws EditConflictError when other clients changed the object at each attempt
+ * @throws UnknownEditError when the outcome remains unknown
  * @example await updateObject(client, 'key-ring', 'brass-lab', ring => addKey(ring, key))
  */
 export async function updateObject<K extends ObjectKind> (client: ObjectClient, kind: K, name: string, change: (value: ObjectValue<K> | null) => ObjectValue<K>): Promise<StoredObject> {
@@ -71,7 +84,13 @@
   }
 }
 
-/** Deletes an object if it still has `version`; a lost answer is looked up. */
+/**
+ * Deletes an object if it still has `expectedVersion`. If the response is lost, reads the object to find out whether
+ * the deletion took effect, and repeats it if not.
+ *
+ * @throws EditConflictError when another client changed the object
+ * @throws UnknownEditError when the outcome remains unknown
+ */
 export async function removeObject (client: ObjectClient, kind: ObjectKind, name: string, expectedVersion: number): Promise<void> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     try {
@@ -80,8 +99,8 @@
       if (!(error instanceof ConflictError) && !(error instanceof UnknownOutcomeError)) throw error
       const current = await findCurrentObject(client, kind, name)
       if (current === null) return
-      if (current.version !== expectedVersion || error instanceof ConflictError) throw new EditConflictError(`${kind} '${name}': changed by somebody else, expected version ${expectedVersion}, found ${current.version}`)
+      if (current.version !== expectedVersion || error instanceof ConflictError) throw new EditConflictError(`${kind} '${name}': changed by another client, expected version ${expectedVersion}, found ${current.version}`)
     }
   }
-  throw new UnknownEditError(`${kind} '${name}': the object service keeps losing its answers`)
+  throw new UnknownEditError(`${kind} '${name}': the responses to all attempts were lost; check the object before you repeat the deletion`)
 }
