--- a/packages/standins/src/endpoint/authentication.ts
+++ b/packages/standins/src/endpoint/authentication.ts
@@ -21,6 +21,6 @@
   if (token?.length !== 20) return false
   const digest = computeDigest(password)
   const mask = hashSha1(nonce, digest)
-  const stage1 = Buffer.from(token.map((byte, i) => byte ^ mask[i]!))
-  return hashSha1(stage1).equals(digest)
+  const passwordHash = Buffer.from(token.map((byte, i) => byte ^ mask[i]!))
+  return hashSha1(passwordHash).equals(digest)
 }
--- a/packages/standins/src/endpoint/control-server.ts
+++ b/packages/standins/src/endpoint/control-server.ts
@@ -1,13 +1,13 @@
 import fastify, { type FastifyInstance } from 'fastify'
 import type { AddressInfo } from 'node:net'
-import type { FaultGate } from './fault-gate.ts'
+import type { FaultInjector } from './fault-gate.ts'
 import type { GroupMember } from './group-member.ts'
 import type { InstanceRecord } from './record.ts'
 import { faultsSchema } from './settings.ts'
 
 export interface ControlServerOptions {
   port: number
-  gate: FaultGate
+  injector: FaultInjector
   member: GroupMember
   record: InstanceRecord
   kill: () => void
@@ -15,10 +15,10 @@
 
 /** Serves the faults and the record of an instance on loopback. */
 export async function startControlServer (options: ControlServerOptions): Promise<{ port: number, stop: () => Promise<void> }> {
-  const { gate, member, record } = options
+  const { injector, member, record } = options
   const app = fastify({ forceCloseConnections: true })
   addFaultRoutes(app, options)
-  app.get('/state', () => ({ status: member.readStatus(), faults: gate.faults }))
+  app.get('/state', () => ({ status: member.readStatus(), faults: injector.faults }))
   app.get('/record', () => ({
     statements: record.statements,
     refusedConnections: record.refusedConnections,
@@ -34,12 +34,12 @@
   return { port: (app.server.address() as AddressInfo).port, stop: async () => { await app.close() } }
 }
 
-function addFaultRoutes (app: FastifyInstance, { gate, kill }: ControlServerOptions): void {
+function addFaultRoutes (app: FastifyInstance, { injector, kill }: ControlServerOptions): void {
   app.post('/faults', async (request, reply) => {
     const change = faultsSchema.safeParse(request.body)
     if (!change.success) return await reply.code(400).send({ error: change.error.message })
-    gate.update(change.data)
-    return gate.faults
+    injector.update(change.data)
+    return injector.faults
   })
   app.post('/kill', async (_request, reply) => {
     await reply.send({ killed: true })
--- a/packages/standins/src/endpoint/dialect.ts
+++ b/packages/standins/src/endpoint/dialect.ts
@@ -10,7 +10,7 @@
   return /^[A-Za-z]+/.exec(text.replace(LEADING_COMMENTS, ''))?.[0].toUpperCase() ?? ''
 }
 
-const kindsByWord: Record<string, StatementKind> = {
+const statementKindsByFirstWord: Record<string, StatementKind> = {
   SELECT: 'read', VALUES: 'read', EXPLAIN: 'read', BEGIN: 'begin', START: 'begin', COMMIT: 'commit', ROLLBACK: 'rollback', SET: 'set', GROUP: 'group'
 }
 
@@ -20,13 +20,13 @@
   if (word === 'SELECT' && FOR_UPDATE.test(text)) return 'locking-read'
   if (word === 'WITH') return /\b(INSERT|UPDATE|DELETE|REPLACE)\b/i.test(text) ? 'write' : 'read'
   if (word === 'SHOW' && /^SHOW\s+GROUP\s+STATUS/i.test(text.trim())) return 'group'
-  return kindsByWord[word] ?? 'write'
+  return statementKindsByFirstWord[word] ?? 'write'
 }
 
 /** Converts quoted strings with backslash escapes, and locking reads, to what the engine understands. */
 export function convertToEngine (text: string): string {
-  const plain = text.replace(FOR_UPDATE, '')
-  return plain.replace(/'(?:[^'\\]|\\[\s\S]|'')*'|"(?:[^"\\]|\\[\s\S]|"")*"|`[^`]*`|--[^\n]*|\/\*[\s\S]*?\*\//g, token => {
+  const withoutLock = text.replace(FOR_UPDATE, '')
+  return withoutLock.replace(/'(?:[^'\\]|\\[\s\S]|'')*'|"(?:[^"\\]|\\[\s\S]|"")*"|`[^`]*`|--[^\n]*|\/\*[\s\S]*?\*\//g, token => {
     if (token[0] === "'" || token[0] === '"') return convertString(token)
     return token
   })
--- a/packages/standins/src/endpoint/endpoint.test.ts
+++ b/packages/standins/src/endpoint/endpoint.test.ts
@@ -125,9 +125,9 @@
     await connection.query('INSERT INTO t VALUES (1)')
     await readStatus(connection, formatFence(4, 'vm-1'))
     await first.stop()
-    const again = await startEndpoint(options)
-    group = [again]
-    const next = await openConnection(again)
+    const restarted = await startEndpoint(options)
+    group = [restarted]
+    const next = await openConnection(restarted)
     expect(await readErrno(next.query(formatFence(4, 'vm-2')))).to.equal(STALE_TERM_ERRNO)
     expect((await next.query('SELECT id FROM t'))[0]).to.deep.equal([{ id: 1 }])
     expect(await readStatus(next, formatPromote(4, 'vm-1'))).to.deep.include({ role: 'primary', logged: { term: 4, index: 3 } })
--- a/packages/standins/src/endpoint/engine.ts
+++ b/packages/standins/src/endpoint/engine.ts
@@ -7,7 +7,7 @@
 const SYNTAX_ERRNO = 1064
 const NO_SUCH_TABLE_ERRNO = 1146
 const NO_SUCH_COLUMN_ERRNO = 1054
-const DUPLICATE_ERRNO = 1062
+const DUPLICATE_KEY_ERRNO = 1062
 const NOT_NULL_ERRNO = 1048
 const TABLE_EXISTS_ERRNO = 1050
 
@@ -19,7 +19,7 @@
 const errnoByMessage: Array<[RegExp, number]> = [
   [/no such table/, NO_SUCH_TABLE_ERRNO],
   [/no such column/, NO_SUCH_COLUMN_ERRNO],
-  [/UNIQUE constraint/, DUPLICATE_ERRNO],
+  [/UNIQUE constraint/, DUPLICATE_KEY_ERRNO],
   [/NOT NULL constraint/, NOT_NULL_ERRNO],
   [/already exists/, TABLE_EXISTS_ERRNO],
   [/syntax error|incomplete input|unrecognized token|no such function/, SYNTAX_ERRNO]
@@ -37,70 +37,70 @@
  */
 export class Engine {
   readonly #sql: SqlJsStatic
-  #visible: Database
-  #head: Database | null = null
-  #open = false
+  #appliedDatabase: Database
+  #writerDatabase: Database | null = null
+  #hasOpenTransaction = false
 
   constructor (sql: SqlJsStatic) {
     this.#sql = sql
-    this.#visible = new sql.Database()
+    this.#appliedDatabase = new sql.Database()
   }
 
   /** Runs a query on committed rows, or on those of the open transaction too. */
-  read (text: string, ownTransaction: boolean): ResultSet {
-    const database = ownTransaction && this.#open ? this.#readHead() : this.#visible
+  read (text: string, inOpenTransaction: boolean): ResultSet {
+    const database = inOpenTransaction && this.#hasOpenTransaction ? this.#openWriterDatabase() : this.#appliedDatabase
     return runQuery(database, text)
   }
 
   startTransaction (): void {
-    this.#readHead().run('BEGIN')
-    this.#open = true
+    this.#openWriterDatabase().run('BEGIN')
+    this.#hasOpenTransaction = true
   }
 
   /** Runs one statement in the open transaction; on an error that statement alone has no effect. */
   write (text: string): WriteResult {
-    return runWrite(this.#readHead(), text)
+    return runWrite(this.#openWriterDatabase(), text)
   }
 
-  closeTransaction (): void {
-    this.#readHead().run('COMMIT')
-    this.#open = false
+  commitTransaction (): void {
+    this.#openWriterDatabase().run('COMMIT')
+    this.#hasOpenTransaction = false
   }
 
-  dropTransaction (): void {
-    if (!this.#open) return
-    this.#open = false
-    this.#readHead().run('ROLLBACK')
+  rollbackTransaction (): void {
+    if (!this.#hasOpenTransaction) return
+    this.#hasOpenTransaction = false
+    this.#openWriterDatabase().run('ROLLBACK')
   }
 
   /** Makes a committed transaction visible to queries. */
-  apply (statements: readonly string[], committedHere: boolean): void {
-    for (const text of statements) runWrite(this.#visible, text)
-    if (!committedHere) this.#closeHead()
+  apply (statements: readonly string[], wasCommittedByWriter: boolean): void {
+    for (const text of statements) runWrite(this.#appliedDatabase, text)
+    if (!wasCommittedByWriter) this.#closeWriterDatabase()
   }
 
   /** Begins anew from the given transactions. */
-  reset (transactions: ReadonlyArray<readonly string[]>): void {
-    this.#closeHead()
-    this.#visible.close()
-    this.#visible = new this.#sql.Database()
+  restore (transactions: ReadonlyArray<readonly string[]>): void {
+    this.#closeWriterDatabase()
+    this.#appliedDatabase.close()
+    this.#appliedDatabase = new this.#sql.Database()
     for (const statements of transactions) this.apply(statements, false)
   }
 
   close (): void {
-    this.#closeHead()
-    this.#visible.close()
+    this.#closeWriterDatabase()
+    this.#appliedDatabase.close()
   }
 
-  #readHead (): Database {
-    this.#head ??= new this.#sql.Database(this.#visible.export())
-    return this.#head
+  #openWriterDatabase (): Database {
+    this.#writerDatabase ??= new this.#sql.Database(this.#appliedDatabase.export())
+    return this.#writerDatabase
   }
 
-  #closeHead (): void {
-    this.#head?.close()
-    this.#head = null
-    this.#open = false
+  #closeWriterDatabase (): void {
+    this.#writerDatabase?.close()
+    this.#writerDatabase = null
+    this.#hasOpenTransaction = false
   }
 }
 
@@ -109,7 +109,7 @@
   return new Engine(await initSqlJs())
 }
 
-function parseOne (database: Database, text: string): Statement {
+function parseSingleStatement (database: Database, text: string): Statement {
   try {
     const iterator = database.iterateStatements(convertToEngine(text))
     const first = iterator.next()
@@ -125,7 +125,7 @@
 }
 
 function runQuery (database: Database, text: string): ResultSet {
-  const statement = parseOne(database, text)
+  const statement = parseSingleStatement(database, text)
   try {
     return buildResultSet(database, statement, text)
   } catch (error) {
@@ -136,7 +136,7 @@
 }
 
 function runWrite (database: Database, text: string): WriteResult {
-  const statement = parseOne(database, text)
+  const statement = parseSingleStatement(database, text)
   try {
     while (statement.step());
   } catch (error) {
--- a/packages/standins/src/endpoint/fault-gate.ts
+++ b/packages/standins/src/endpoint/fault-gate.ts
@@ -3,43 +3,43 @@
 import { faultsSchema } from './settings.ts'
 
 /** The faults in force, and a gate that stays shut while the instance is frozen. */
-export interface FaultGate {
+export interface FaultInjector {
   readonly faults: Faults
   update: (change: FaultChange) => void
   /** Resolves at once unless the instance is frozen. */
-  waitThawed: () => Promise<void>
+  waitUntilUnfrozen: () => Promise<void>
   isPeerCut: (instance: string) => boolean
   /** Draws whether the next statement fails. */
-  isFailing: () => boolean
+  decideStatementFailure: () => boolean
   /** True, and one less to drop, while replies are to be dropped. */
-  spendDroppedReply: () => boolean
+  decideReplyDrop: () => boolean
   subscribe: (listener: () => void) => void
 }
 
-export function createFaultGate (settings: EndpointSettings): FaultGate {
+export function createFaultInjector (settings: EndpointSettings): FaultInjector {
   const { statementDelayMs, replicationDelayMs, applyDelayMs, connectDelayMs } = settings
   const faults: Faults = {
     freeze: false, cut: { callers: false, peers: [] }, failRate: 0, dropReplies: 0, statementDelayMs, replicationDelayMs, applyDelayMs, connectDelayMs
   }
-  const draw = createSeededRandom(settings.seed)
+  const random = createSeededRandom(settings.seed)
   const listeners: Array<() => void> = []
-  let thawed: Array<() => void> = []
+  let unfreezeListeners: Array<() => void> = []
   return {
     faults,
     update: change => {
       Object.assign(faults, faultsSchema.parse(change))
       if (!faults.freeze) {
-        for (const resolve of thawed) resolve()
-        thawed = []
+        for (const resolve of unfreezeListeners) resolve()
+        unfreezeListeners = []
       }
       for (const l of listeners) l()
     },
-    waitThawed: async () => {
-      while (faults.freeze) await new Promise<void>(resolve => { thawed.push(resolve) })
+    waitUntilUnfrozen: async () => {
+      while (faults.freeze) await new Promise<void>(resolve => { unfreezeListeners.push(resolve) })
     },
     isPeerCut: instance => faults.cut.peers.includes(instance),
-    isFailing: () => faults.failRate > 0 && draw() < faults.failRate,
-    spendDroppedReply: () => {
+    decideStatementFailure: () => faults.failRate > 0 && random() < faults.failRate,
+    decideReplyDrop: () => {
       if (faults.dropReplies === 0) return false
       faults.dropReplies--
       return true
--- a/packages/standins/src/endpoint/group-member.ts
+++ b/packages/standins/src/endpoint/group-member.ts
@@ -1,23 +1,23 @@
 import type { InstanceStatus, LogPosition, WaitResult } from '@camphorpitch/wire'
 import type { Engine } from './engine.ts'
-import type { FaultGate } from './fault-gate.ts'
-import { noStateFile, type StateFile } from './state-file.ts'
+import type { FaultInjector } from './fault-gate.ts'
+import { nullStateFile, type StateFile } from './state-file.ts'
 import {
-  addEntry, applyShipment, createShipment, describeStatus, fence, follow, isHolding, promote, readPosition,
+  addEntry, applyShipment, createShipment, describeStatus, fence, follow, hasEntryInCurrentTerm, promote, readPosition,
   type GroupState, type LogRequest, type PrimaryAddress, type Shipment
 } from './group-rules.ts'
 
-const MAX_SHIPPED_ENTRIES = 500
+const MAX_SHIPMENT_ENTRIES = 500
 
 interface Waiter {
   /** Resolves the waiter's promise and returns true once its wait is over. */
-  checkOver: (expired: boolean) => boolean
+  finishIfReady: (expired: boolean) => boolean
 }
 
 export interface GroupMemberOptions {
   state: GroupState
   engine: Engine
-  gate: FaultGate
+  injector: FaultInjector
   stateFile?: StateFile
   /** Called after the term, the role or the primary has changed. */
   handleRoleChange: () => void
@@ -27,20 +27,20 @@
 export class GroupMember {
   readonly state: GroupState
   readonly #engine: Engine
-  readonly #gate: FaultGate
+  readonly #injector: FaultInjector
   readonly #handleRoleChange: () => void
   readonly #stateFile: StateFile
   readonly #waiters = new Set<Waiter>()
-  #primaryHeardAtMs = performance.now()
+  #lastPrimaryResponseAtMs = performance.now()
   #stopped = false
 
-  constructor ({ state, engine, gate, stateFile = noStateFile, handleRoleChange }: GroupMemberOptions) {
+  constructor ({ state, engine, injector, stateFile = nullStateFile, handleRoleChange }: GroupMemberOptions) {
     this.state = state
     this.#stateFile = stateFile
     this.#engine = engine
-    this.#gate = gate
+    this.#injector = injector
     this.#handleRoleChange = handleRoleChange
-    gate.subscribe(() => { this.#scheduleApply() })
+    injector.subscribe(() => { this.#scheduleApply() })
     this.#applyUpTo(state.log.length)
   }
 
@@ -51,7 +51,7 @@
   readStatus (): InstanceStatus {
     const status = describeStatus(this.state)
     if (status.role !== 'replica') return status
-    return { ...status, primaryHeardMs: Math.round(performance.now() - this.#primaryHeardAtMs) }
+    return { ...status, primaryHeardMs: Math.round(performance.now() - this.#lastPrimaryResponseAtMs) }
   }
 
   fence (term: number, promoter: string): boolean {
@@ -75,7 +75,7 @@
     const { term: before, role } = this.state
     if (!follow(this.state, term, primary)) return false
     if (before !== term || role !== 'replica') {
-      this.#primaryHeardAtMs = performance.now()
+      this.#lastPrimaryResponseAtMs = performance.now()
       this.#updateRole()
     }
     return true
@@ -91,18 +91,18 @@
     return position
   }
 
-  recordPrimaryHeard (): void {
-    this.#primaryHeardAtMs = performance.now()
+  recordPrimaryResponse (): void {
+    this.#lastPrimaryResponseAtMs = performance.now()
   }
 
   receiveShipment (shipment: Shipment): boolean {
-    const before = this.state.appliedIndex
+    const appliedIndexBefore = this.state.appliedIndex
     const outcome = applyShipment(this.state, shipment)
     if (!outcome.accepted) return false
-    const added = this.state.log.slice(outcome.keptIndex)
-    if (added.length > 0) this.#stateFile.recordEntries(outcome.keptIndex, added)
-    if (this.state.appliedIndex < before) {
-      this.#engine.reset(this.state.log.slice(0, this.state.appliedIndex).map(e => e.statements))
+    const addedEntries = this.state.log.slice(outcome.keptIndex)
+    if (addedEntries.length > 0) this.#stateFile.recordEntries(outcome.keptIndex, addedEntries)
+    if (this.state.appliedIndex < appliedIndexBefore) {
+      this.#engine.restore(this.state.log.slice(0, this.state.appliedIndex).map(e => e.statements))
     }
     this.#scheduleApply()
     this.#checkWaiters()
@@ -110,16 +110,16 @@
   }
 
   /** Waits until the log holds `position` in its term, or until that cannot be any more. */
-  waitHolding (position: LogPosition, timeoutMs: number): Promise<WaitResult> {
+  waitForPosition (position: LogPosition, timeoutMs: number): Promise<WaitResult> {
     const read = (): WaitResult => ({
-      reached: isHolding(this.state, position), term: this.state.term, logged: readPosition(this.state.log, this.state.log.length)
+      reached: hasEntryInCurrentTerm(this.state, position), term: this.state.term, logged: readPosition(this.state.log, this.state.log.length)
     })
     return this.#wait(() => read().reached || this.state.term > position.term, read, timeoutMs)
   }
 
   /** Answers a replica as soon as there are entries that it lacks; `null` when this is not its primary. */
-  waitShipment (request: LogRequest, waitMs: number): Promise<Shipment | null> {
-    const read = (): Shipment | null => createShipment(this.state, request, MAX_SHIPPED_ENTRIES)
+  waitForShipment (request: LogRequest, waitMs: number): Promise<Shipment | null> {
+    const read = (): Shipment | null => createShipment(this.state, request, MAX_SHIPMENT_ENTRIES)
     const isReady = (): boolean => {
       const shipment = read()
       return shipment === null || shipment.entries.length > 0 || shipment.previous.index < request.length
@@ -129,7 +129,7 @@
 
   stop (): void {
     this.#stopped = true
-    for (const w of this.#waiters) w.checkOver(true)
+    for (const w of this.#waiters) w.finishIfReady(true)
     this.#waiters.clear()
   }
 
@@ -141,7 +141,7 @@
         resolve(read())
       }, timeoutMs)
       const waiter: Waiter = {
-        checkOver: expired => {
+        finishIfReady: expired => {
           if (!expired && !isReady()) return false
           clearTimeout(timer)
           resolve(read())
@@ -154,7 +154,7 @@
 
   #checkWaiters (): void {
     for (const w of this.#waiters) {
-      if (w.checkOver(false)) this.#waiters.delete(w)
+      if (w.finishIfReady(false)) this.#waiters.delete(w)
     }
   }
 
@@ -167,14 +167,14 @@
   #scheduleApply (): void {
     const { log, appliedIndex } = this.state
     if (appliedIndex === log.length || this.#stopped) return
-    const target = log.length
-    const last = log.at(-1)
-    const run = (): void => {
-      if (this.#stopped || this.#gate.faults.freeze) return
-      if (this.state.log[target - 1] === last) this.#applyUpTo(target)
+    const targetIndex = log.length
+    const lastEntry = log.at(-1)
+    const applyIfCurrent = (): void => {
+      if (this.#stopped || this.#injector.faults.freeze) return
+      if (this.state.log[targetIndex - 1] === lastEntry) this.#applyUpTo(targetIndex)
     }
-    if (this.#gate.faults.applyDelayMs === 0) run()
-    else setTimeout(run, this.#gate.faults.applyDelayMs)
+    if (this.#injector.faults.applyDelayMs === 0) applyIfCurrent()
+    else setTimeout(applyIfCurrent, this.#injector.faults.applyDelayMs)
   }
 
   #applyUpTo (index: number): void {
--- a/packages/standins/src/endpoint/group-rules.ts
+++ b/packages/standins/src/endpoint/group-rules.ts
@@ -129,8 +129,8 @@
 /** @returns false when a newer term is promised, or `term` has another primary */
 export function follow (state: GroupState, term: number, primary: PrimaryAddress): boolean {
   if (term < state.term || primary.instance === state.instance) return false
-  const known = term === state.term ? state.primary?.instance : undefined
-  if (known !== undefined && known !== primary.instance) return false
+  const knownPrimary = term === state.term ? state.primary?.instance : undefined
+  if (knownPrimary !== undefined && knownPrimary !== primary.instance) return false
   if (term > state.term) state.promoter = null
   state.term = term
   state.role = 'replica'
@@ -151,12 +151,12 @@
 /** Answers a replica; `null` unless this instance is the primary of the request's term. */
 export function createShipment (state: GroupState, request: LogRequest, maxEntries: number): Shipment | null {
   if (state.role !== 'primary' || state.term !== request.term) return null
-  const index = findCommonIndex(state.log, request)
+  const index = findLastCommonIndex(state.log, request)
   return { term: state.term, previous: readPosition(state.log, index), entries: state.log.slice(index, index + maxEntries) }
 }
 
 /** Index of the last entry that is surely the same in both logs, by log matching. */
-function findCommonIndex (log: readonly LogEntry[], request: LogRequest): number {
+function findLastCommonIndex (log: readonly LogEntry[], request: LogRequest): number {
   let index = Math.min(log.length, request.length)
   while (index > 0 && log[index - 1]!.term !== readTermAt(request.termStarts, index)) index--
   return index
@@ -168,9 +168,9 @@
 
 /** Takes entries from the primary of the instance's own term; a repeated or late shipment changes nothing. */
 export function applyShipment (state: GroupState, shipment: Shipment): ShipmentOutcome {
-  const refused = { accepted: false, keptIndex: state.log.length }
-  if (state.role !== 'replica' || state.term !== shipment.term) return refused
-  if (!hasEntry(state.log, shipment.previous)) return refused
+  const rejected = { accepted: false, keptIndex: state.log.length }
+  if (state.role !== 'replica' || state.term !== shipment.term) return rejected
+  if (!hasEntry(state.log, shipment.previous)) return rejected
   const keptIndex = mergeEntries(state.log, shipment)
   state.appliedIndex = Math.min(state.appliedIndex, keptIndex)
   return { accepted: true, keptIndex }
@@ -192,6 +192,6 @@
 }
 
 /** Whether this instance counts towards the durability of `position`: it holds the entry and has promised nothing newer. */
-export function isHolding (state: GroupState, position: LogPosition): boolean {
+export function hasEntryInCurrentTerm (state: GroupState, position: LogPosition): boolean {
   return state.term === position.term && hasEntry(state.log, position)
 }
--- a/packages/standins/src/endpoint/mysql-connection.ts
+++ b/packages/standins/src/endpoint/mysql-connection.ts
@@ -62,15 +62,15 @@
 }
 
 /** Answers every command, those that are not supported by an error. */
-export function listenCommands (connection: ServerConnection, { runQuery }: CommandHandlers): void {
+export function listenForCommands (connection: ServerConnection, { runQuery }: CommandHandlers): void {
   const sendOk = (): void => { sendReply(connection, { kind: 'ok', affectedRows: 0, insertId: 0, position: null, inTransaction: false }) }
-  const refuse = (): void => { sendError(connection, createStatementError(UNSUPPORTED_ERRNO, 'prepared statements are not supported')) }
+  const refusePreparedStatement = (): void => { sendError(connection, createStatementError(UNSUPPORTED_ERRNO, 'prepared statements are not supported')) }
   connection.on('query', runQuery)
   connection.on('stmt_prepare', (text: string) => {
     if (/^\s*SET\b/i.test(text)) runQuery(text)
-    else refuse()
+    else refusePreparedStatement()
   })
-  connection.on('stmt_execute', refuse)
+  connection.on('stmt_execute', refusePreparedStatement)
   connection.on('ping', sendOk)
   connection.on('init_db', sendOk)
   connection.on('quit', () => connection.stream.end())
@@ -83,13 +83,13 @@
   if (reply.kind === 'silence' || connection.stream.destroyed) return
   if (reply.kind === 'ok') {
     const info = reply.position === null ? '' : formatCommitInfo(reply.position)
-    connection.writePacket(createOkPacket(reply.affectedRows, reply.insertId, readStatusFlags(reply.inTransaction), info))
+    connection.writePacket(createOkPacket(reply.affectedRows, reply.insertId, computeStatusFlags(reply.inTransaction), info))
   } else {
     // One system call for the whole reply in place of one for each packet.
     connection.stream.cork()
     connection.writeColumns(reply.result.columns)
     for (const row of reply.result.rows) connection.writeTextRow(row)
-    connection.writeEof(0, readStatusFlags(reply.inTransaction))
+    connection.writeEof(0, computeStatusFlags(reply.inTransaction))
     connection.stream.uncork()
   }
   connection.sequenceId = 0
@@ -103,15 +103,15 @@
   connection.sequenceId = 0
 }
 
-function readStatusFlags (inTransaction: boolean): number {
+function computeStatusFlags (inTransaction: boolean): number {
   return inTransaction ? STATUS_AUTOCOMMIT | STATUS_IN_TRANSACTION : STATUS_AUTOCOMMIT
 }
 
 /** An OK packet with an info text, which the library's own leaves out. */
 function createOkPacket (affectedRows: number, insertId: number, status: number, info: string): OutgoingPacket {
-  const fixed = Buffer.alloc(4)
-  fixed.writeUInt16LE(status, 0)
-  const body = Buffer.concat([Buffer.from([0]), encodeLength(affectedRows), encodeLength(insertId), fixed, Buffer.from(info, 'latin1')])
+  const statusAndWarnings = Buffer.alloc(4)
+  statusAndWarnings.writeUInt16LE(status, 0)
+  const body = Buffer.concat([Buffer.from([0]), encodeLengthEncodedInteger(affectedRows), encodeLengthEncodedInteger(insertId), statusAndWarnings, Buffer.from(info, 'latin1')])
   const buffer = Buffer.concat([Buffer.alloc(4), body])
   return {
     _name: 'OK',
@@ -125,7 +125,7 @@
 }
 
 /** MySQL's length-encoded integer. */
-function encodeLength (value: number): Buffer {
+function encodeLengthEncodedInteger (value: number): Buffer {
   if (value < 0xfb) return Buffer.from([value])
   const buffer = Buffer.alloc(9)
   buffer.writeUInt8(0xfe, 0)
--- a/packages/standins/src/endpoint/mysql-server.ts
+++ b/packages/standins/src/endpoint/mysql-server.ts
@@ -3,15 +3,15 @@
 import type { AddressInfo, Server as TcpServer } from 'node:net'
 import { setTimeout as wait } from 'node:timers/promises'
 import { verifyToken } from './authentication.ts'
-import { InstanceSession, type InstanceParts } from './instance-session.ts'
-import { listenCommands, sendError, sendHandshake, sendReply, type AuthRequest, type ServerConnection } from './mysql-connection.ts'
+import { InstanceSession, type InstanceContext } from './instance-session.ts'
+import { listenForCommands, sendError, sendHandshake, sendReply, type AuthRequest, type ServerConnection } from './mysql-connection.ts'
 import type { EndpointSettings } from './settings.ts'
 
 const ACCESS_DENIED_ERRNO = 1045
 /** User name under which a replica connects to its primary; such connections do not count towards the limit. */
 export const PEER_USER_PREFIX = 'replica:'
 
-interface OpenConnection {
+interface ClientConnection {
   connection: ServerConnection
   session: InstanceSession | null
   isPeer: boolean
@@ -36,21 +36,21 @@
 const createLibraryServer = mysql.createServer as unknown as () => LibraryServer
 
 /** Serves the MySQL protocol for one instance. */
-export async function startMysqlServer (settings: EndpointSettings, parts: InstanceParts): Promise<MysqlServer> {
-  const open = new Set<OpenConnection>()
+export async function startMysqlServer (settings: EndpointSettings, context: InstanceContext): Promise<MysqlServer> {
+  const openConnections = new Set<ClientConnection>()
   const server = createLibraryServer()
-  let lastId = 0
-  parts.gate.subscribe(() => {
-    for (const o of open) updateFlow(o, parts)
+  let lastConnectionId = 0
+  context.injector.subscribe(() => {
+    for (const o of openConnections) updateFlowControl(o, context)
   })
-  server.on('connection', (raw: unknown) => {
-    const connection = raw as ServerConnection
-    const handle: OpenConnection = { connection, session: null, isPeer: false, isCounted: false }
-    open.add(handle)
-    admitConnection(handle, ++lastId, settings, parts)
+  server.on('connection', (libraryConnection: unknown) => {
+    const connection = libraryConnection as ServerConnection
+    const client: ClientConnection = { connection, session: null, isPeer: false, isCounted: false }
+    openConnections.add(client)
+    handleConnection(client, ++lastConnectionId, settings, context)
     connection.stream.on('close', () => {
-      open.delete(handle)
-      closeConnection(handle, parts)
+      openConnections.delete(client)
+      closeConnection(client, context)
     })
   })
   const tcp = server._server
@@ -61,82 +61,82 @@
   return {
     port: (tcp.address() as AddressInfo).port,
     cancelTransactions: () => {
-      for (const o of open) o.session?.cancelTransaction()
+      for (const o of openConnections) o.session?.cancelTransaction()
     },
     stop: async () => {
       const closed = new Promise<void>(resolve => { tcp.close(() => { resolve() }) })
-      for (const o of open) o.connection.stream.destroy()
+      for (const o of openConnections) o.connection.stream.destroy()
       await closed
     }
   }
 }
 
-function admitConnection (handle: OpenConnection, id: number, settings: EndpointSettings, parts: InstanceParts): void {
-  const { connection } = handle
+function handleConnection (client: ClientConnection, connectionId: number, settings: EndpointSettings, context: InstanceContext): void {
+  const { connection } = client
   connection.stream.setNoDelay(true)
   connection.on('error', () => connection.stream.destroy())
-  connection.stream.prependListener('data', (chunk: Buffer) => { parts.record.addBytes(id, chunk) })
-  listenCommands(connection, {
+  connection.stream.prependListener('data', (chunk: Buffer) => { context.record.addBytes(connectionId, chunk) })
+  listenForCommands(connection, {
     runQuery: text => {
-      handle.session?.run(text).then(async reply => {
-        await parts.gate.waitThawed()
+      client.session?.run(text).then(async reply => {
+        await context.injector.waitUntilUnfrozen()
         sendReply(connection, reply)
       }, async error => {
-        await parts.gate.waitThawed()
+        await context.injector.waitUntilUnfrozen()
         sendError(connection, error)
       }).catch(() => connection.stream.destroy())
     }
   })
-  openSession(handle, id, settings, parts).catch(() => connection.stream.destroy())
+  openSession(client, connectionId, settings, context).catch(() => connection.stream.destroy())
 }
 
-async function openSession (handle: OpenConnection, id: number, settings: EndpointSettings, parts: InstanceParts): Promise<void> {
-  await wait(parts.gate.faults.connectDelayMs)
-  await parts.gate.waitThawed()
-  if (handle.connection.stream.destroyed) return
-  updateFlow(handle, parts)
-  sendHandshake(handle.connection, id, (request, done) => {
-    const refusal = admitClient(handle, request, settings, parts)
+async function openSession (client: ClientConnection, connectionId: number, settings: EndpointSettings, context: InstanceContext): Promise<void> {
+  await wait(context.injector.faults.connectDelayMs)
+  await context.injector.waitUntilUnfrozen()
+  if (client.connection.stream.destroyed) return
+  updateFlowControl(client, context)
+  sendHandshake(client.connection, connectionId, (request, done) => {
+    const refusal = admitClient(client, request, settings, context)
     if (refusal !== undefined) {
       done(null, refusal)
       return
     }
-    handle.session = new InstanceSession(parts, id, request.user)
-    updateFlow(handle, parts)
-    if (!isCut(handle, parts)) done(null)
-    handle.connection.sequenceId = 0
+    client.session = new InstanceSession(context, connectionId, request.user)
+    updateFlowControl(client, context)
+    if (!isClientCut(client, context)) done(null)
+    client.connection.sequenceId = 0
   })
 }
 
-function admitClient (handle: OpenConnection, request: AuthRequest, settings: EndpointSettings, parts: InstanceParts): { code: number, message: string } | undefined {
-  handle.isPeer = request.user.startsWith(PEER_USER_PREFIX)
+function admitClient (client: ClientConnection, request: AuthRequest, settings: EndpointSettings, context: InstanceContext): { code: number, message: string } | undefined {
+  client.isPeer = request.user.startsWith(PEER_USER_PREFIX)
   const nonce = Buffer.concat([request.authPluginData1, request.authPluginData2]).subarray(0, 20)
-  const isKnown = handle.isPeer || request.user === settings.user
-  if (!isKnown || !verifyToken(request.authToken, nonce, settings.password)) {
+  const isKnownUser = client.isPeer || request.user === settings.user
+  if (!isKnownUser || !verifyToken(request.authToken, nonce, settings.password)) {
     return { code: ACCESS_DENIED_ERRNO, message: 'Access denied' }
   }
-  if (handle.isPeer) return undefined
-  if (parts.record.countConnections() >= settings.maxConnections) {
-    parts.record.refusedConnections++
+  if (client.isPeer) return undefined
+  if (context.record.countConnections() >= settings.maxConnections) {
+    context.record.refusedConnections++
     return { code: TOO_MANY_CONNECTIONS_ERRNO, message: 'Too many connections' }
   }
-  handle.isCounted = true
-  parts.record.openConnection()
+  client.isCounted = true
+  context.record.openConnection()
   return undefined
 }
 
-function closeConnection (handle: OpenConnection, parts: InstanceParts): void {
-  if (handle.isCounted) parts.record.closeConnection()
-  handle.session?.close().catch(() => {})
+function closeConnection (client: ClientConnection, context: InstanceContext): void {
+  if (client.isCounted) context.record.closeConnection()
+  client.session?.close().catch(() => {})
 }
 
 /** Before authentication nothing tells a caller from a peer, so only then does a cut take hold. */
-function isCut (handle: OpenConnection, parts: InstanceParts): boolean {
-  return handle.session !== null && !handle.isPeer && parts.gate.faults.cut.callers
+function isClientCut (client: ClientConnection, context: InstanceContext): boolean {
+  return client.session !== null && !client.isPeer && context.injector.faults.cut.callers
 }
 
-function updateFlow (handle: OpenConnection, parts: InstanceParts): void {
-  const { stream } = handle.connection
-  if (parts.gate.faults.freeze || isCut(handle, parts)) stream.pause()
+function updateFlowControl (client: ClientConnection, context: InstanceContext): void {
+  const { stream } = client.connection
+  if (context.injector.faults.freeze || isClientCut(client, context)) stream.pause()
   else stream.resume()
 }
--- a/packages/standins/src/endpoint/record.ts
+++ b/packages/standins/src/endpoint/record.ts
@@ -1,5 +1,5 @@
-const MAX_STATEMENTS = 200_000
-const MAX_BYTES = 64 * 1024 * 1024
+const MAX_RECORDED_STATEMENTS = 200_000
+const MAX_RECORDED_BYTES = 64 * 1024 * 1024
 
 export interface StatementRecord {
   connection: number
@@ -17,21 +17,21 @@
   refusedConnections = 0
   maxConnections = 0
   #connections = 0
-  #bytes = 0
-  readonly #received = new Map<number, Buffer[]>()
+  #receivedBytes = 0
+  readonly #receivedChunks = new Map<number, Buffer[]>()
 
   addStatement (statement: StatementRecord): StatementRecord {
-    if (this.statements.length === MAX_STATEMENTS) this.statements.shift()
+    if (this.statements.length === MAX_RECORDED_STATEMENTS) this.statements.shift()
     this.statements.push(statement)
     return statement
   }
 
   /** Keeps received bytes until the bound is reached. */
   addBytes (connection: number, chunk: Buffer): void {
-    this.#bytes += chunk.length
-    if (this.#bytes > MAX_BYTES) return
-    const chunks = this.#received.get(connection)
-    if (chunks === undefined) this.#received.set(connection, [chunk])
+    this.#receivedBytes += chunk.length
+    if (this.#receivedBytes > MAX_RECORDED_BYTES) return
+    const chunks = this.#receivedChunks.get(connection)
+    if (chunks === undefined) this.#receivedChunks.set(connection, [chunk])
     else chunks.push(chunk)
   }
 
@@ -51,7 +51,7 @@
   /** Number of connections that received `text`, and whether all received bytes were kept. */
   countBytes (text: string): { count: number, complete: boolean } {
     const wanted = Buffer.from(text, 'utf8')
-    const count = [...this.#received.values()].filter(chunks => Buffer.concat(chunks).includes(wanted)).length
-    return { count, complete: this.#bytes <= MAX_BYTES }
+    const count = [...this.#receivedChunks.values()].filter(chunks => Buffer.concat(chunks).includes(wanted)).length
+    return { count, complete: this.#receivedBytes <= MAX_RECORDED_BYTES }
   }
 }
--- a/packages/standins/src/endpoint/replication.ts
+++ b/packages/standins/src/endpoint/replication.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '@camphorpitch/wire'
 import mysql, { type Connection } from 'mysql2/promise'
 import { setTimeout as wait } from 'node:timers/promises'
-import type { FaultGate } from './fault-gate.ts'
+import type { FaultInjector } from './fault-gate.ts'
 import { formatLogRequest, shipmentSchema } from './group-commands.ts'
 import type { GroupMember } from './group-member.ts'
 import { createLogRequest, mergeEntries, type LogEntry, type PrimaryAddress, type Shipment } from './group-rules.ts'
@@ -9,11 +9,11 @@
 
 const POLL_WAIT_MS = 50
 const REQUEST_TIMEOUT_MS = 1_000
-const RETRY_INTERVAL_MS = 20
+const RETRY_DELAY_MS = 20
 
 export interface ReplicationOptions {
   member: GroupMember
-  gate: FaultGate
+  injector: FaultInjector
   password: string
   logger: Logger
 }
@@ -26,17 +26,17 @@
 
 /** Fetches the primary's log while the member is a replica. */
 export function startReplication (options: ReplicationOptions): Replication {
-  let current: AbortController | null = null
+  let currentAbort: AbortController | null = null
   const reset = (): void => {
-    current?.abort()
-    current = null
+    currentAbort?.abort()
+    currentAbort = null
     const { role, primary, term } = options.member.state
     if (role !== 'replica' || primary === null) return
-    current = new AbortController()
-    followPrimary(options, primary, term, current.signal).catch(() => {})
+    currentAbort = new AbortController()
+    followPrimary(options, primary, term, currentAbort.signal).catch(() => {})
   }
   reset()
-  return { reset, stop: () => current?.abort() }
+  return { reset, stop: () => currentAbort?.abort() }
 }
 
 async function followPrimary (options: ReplicationOptions, primary: PrimaryAddress, term: number, signal: AbortSignal): Promise<void> {
@@ -46,28 +46,28 @@
     } catch (error) {
       options.logger.debug('replication interrupted', { instance: options.member.state.instance, primary: primary.instance, error: String(error) })
     }
-    if (!signal.aborted) await wait(RETRY_INTERVAL_MS)
+    if (!signal.aborted) await wait(RETRY_DELAY_MS)
   }
 }
 
 async function pollShipments (options: ReplicationOptions, primary: PrimaryAddress, term: number, signal: AbortSignal): Promise<void> {
-  const { member, gate, password } = options
+  const { member, injector, password } = options
   const instance = member.state.instance
-  await waitLinked(gate, primary.instance)
+  await waitUntilReachable(injector, primary.instance)
   const connection = await mysql.createConnection({
     host: primary.host, port: primary.port, user: PEER_USER_PREFIX + instance, password, connectTimeout: REQUEST_TIMEOUT_MS
   })
   const close = (): void => { connection.destroy() }
   signal.addEventListener('abort', close)
   try {
-    const received = member.state.log.slice()
+    const receivedLog = member.state.log.slice()
     while (!signal.aborted) {
-      await waitLinked(gate, primary.instance)
-      const shipment = await requestShipment(connection, received, term, instance)
-      if (signal.aborted || gate.isPeerCut(primary.instance)) return
-      await gate.waitThawed()
-      member.recordPrimaryHeard()
-      mergeEntries(received, shipment)
+      await waitUntilReachable(injector, primary.instance)
+      const shipment = await requestShipment(connection, receivedLog, term, instance)
+      if (signal.aborted || injector.isPeerCut(primary.instance)) return
+      await injector.waitUntilUnfrozen()
+      member.recordPrimaryResponse()
+      mergeEntries(receivedLog, shipment)
       scheduleShipment(options, shipment, signal)
     }
   } finally {
@@ -76,22 +76,22 @@
   }
 }
 
-async function requestShipment (connection: Connection, received: readonly LogEntry[], term: number, instance: string): Promise<Shipment> {
-  const sql = formatLogRequest(createLogRequest(term, received), instance, POLL_WAIT_MS)
+async function requestShipment (connection: Connection, receivedLog: readonly LogEntry[], term: number, instance: string): Promise<Shipment> {
+  const sql = formatLogRequest(createLogRequest(term, receivedLog), instance, POLL_WAIT_MS)
   const [rows] = await connection.query({ sql, timeout: REQUEST_TIMEOUT_MS })
   const [row] = rows as Array<{ status: string }>
   return shipmentSchema.parse(JSON.parse(row!.status))
 }
 
-function scheduleShipment ({ member, gate }: ReplicationOptions, shipment: Shipment, signal: AbortSignal): void {
+function scheduleShipment ({ member, injector }: ReplicationOptions, shipment: Shipment, signal: AbortSignal): void {
   const applyNow = (): void => {
     if (!signal.aborted) member.receiveShipment(shipment)
   }
-  if (gate.faults.replicationDelayMs === 0) applyNow()
-  else setTimeout(() => { gate.waitThawed().then(applyNow, () => {}) }, gate.faults.replicationDelayMs)
+  if (injector.faults.replicationDelayMs === 0) applyNow()
+  else setTimeout(() => { injector.waitUntilUnfrozen().then(applyNow, () => {}) }, injector.faults.replicationDelayMs)
 }
 
-async function waitLinked (gate: FaultGate, peer: string): Promise<void> {
-  await gate.waitThawed()
-  while (gate.isPeerCut(peer)) await wait(RETRY_INTERVAL_MS)
+async function waitUntilReachable (injector: FaultInjector, peer: string): Promise<void> {
+  await injector.waitUntilUnfrozen()
+  while (injector.isPeerCut(peer)) await wait(RETRY_DELAY_MS)
 }
--- a/packages/standins/src/endpoint/result-set.ts
+++ b/packages/standins/src/endpoint/result-set.ts
@@ -20,7 +20,7 @@
   decimals: number
 }
 
-const types = {
+const typesByValueKind = {
   integer: { columnType: 0x08, characterSet: BINARY_CHARSET, columnLength: 20, decimals: 0 },
   real: { columnType: 0x05, characterSet: BINARY_CHARSET, columnLength: 22, decimals: 31 },
   text: { columnType: 0xfd, characterSet: UTF8MB4_CHARSET, columnLength: 65_535, decimals: 0 },
@@ -36,7 +36,7 @@
   while (statement.step()) values.push(readRow(statement))
   const declared = readDeclaredTypes(database, text)
   const names = statement.getColumnNames()
-  const columnTypes = names.map((name, i) => pickType(declared.get(name.toLowerCase()), values, i))
+  const columnTypes = names.map((name, i) => pickColumnType(declared.get(name.toLowerCase()), values, i))
   const columns = names.map((name, i) => createColumn(name, columnTypes[i]!))
   const rows = values.map(row => row.map((value, i) => formatCell(value, columnTypes[i]!)))
   return { columns, rows }
@@ -44,7 +44,7 @@
 
 /** One text column, as the group's own statements answer. */
 export function createTextResult (name: string, value: string): ResultSet {
-  return { columns: [createColumn(name, types.text)], rows: [[formatCell(value, types.text)]] }
+  return { columns: [createColumn(name, typesByValueKind.text)], rows: [[formatCell(value, typesByValueKind.text)]] }
 }
 
 function readRow (statement: Statement): EngineValue[] {
@@ -60,38 +60,38 @@
   return new Map(result?.values.map(row => [String(row[1]).toLowerCase(), String(row[2]).toUpperCase()]))
 }
 
-function pickType (declared: string | undefined, rows: readonly EngineValue[][], index: number): ColumnType {
-  const first = rows.find(row => row[index] !== null)?.[index] ?? null
-  const byDeclaration = declared === undefined ? undefined : pickDeclaredType(declared, first)
-  return byDeclaration ?? pickValueType(rows, index, first)
+function pickColumnType (declared: string | undefined, rows: readonly EngineValue[][], index: number): ColumnType {
+  const firstValue = rows.find(row => row[index] !== null)?.[index] ?? null
+  const byDeclaration = declared === undefined ? undefined : pickDeclaredType(declared, firstValue)
+  return byDeclaration ?? pickValueType(rows, index, firstValue)
 }
 
-function pickDeclaredType (declared: string, first: EngineValue): ColumnType | undefined {
+function pickDeclaredType (declared: string, firstValue: EngineValue): ColumnType | undefined {
   const decimal = /^(?:DECIMAL|NUMERIC)(?:\((\d+)(?:\s*,\s*(\d+))?\))?/.exec(declared)
   if (decimal !== null) {
     const decimals = Number(decimal[2] ?? 0)
     return { columnType: 0xf6, characterSet: BINARY_CHARSET, columnLength: Number(decimal[1] ?? 10) + 2, decimals }
   }
-  if (declared === 'DATE') return types.date
-  if (/^(DATETIME|TIMESTAMP)/.test(declared)) return types.datetime
-  if (first !== null) return undefined
-  if (/INT/.test(declared)) return types.integer
-  if (/CHAR|TEXT/.test(declared)) return types.text
-  if (/BLOB|BINARY/.test(declared)) return types.blob
-  return /REAL|FLOA|DOUB/.test(declared) ? types.real : undefined
+  if (declared === 'DATE') return typesByValueKind.date
+  if (/^(DATETIME|TIMESTAMP)/.test(declared)) return typesByValueKind.datetime
+  if (firstValue !== null) return undefined
+  if (/INT/.test(declared)) return typesByValueKind.integer
+  if (/CHAR|TEXT/.test(declared)) return typesByValueKind.text
+  if (/BLOB|BINARY/.test(declared)) return typesByValueKind.blob
+  return /REAL|FLOA|DOUB/.test(declared) ? typesByValueKind.real : undefined
 }
 
 /** A column whose rows differ in type is sent as text, or as binary when any of them is. */
-function pickValueType (rows: readonly EngineValue[][], index: number, first: EngineValue): ColumnType {
-  if (first === null) return types.null
-  const kinds = new Set(rows.map(row => readKind(row[index]!)))
+function pickValueType (rows: readonly EngineValue[][], index: number, firstValue: EngineValue): ColumnType {
+  if (firstValue === null) return typesByValueKind.null
+  const kinds = new Set(rows.map(row => readValueKind(row[index]!)))
   kinds.delete('null')
-  if (kinds.has('blob')) return types.blob
-  if (kinds.size === 1) return types[[...kinds][0]!]
-  return kinds.has('text') ? types.text : types.real
+  if (kinds.has('blob')) return typesByValueKind.blob
+  if (kinds.size === 1) return typesByValueKind[[...kinds][0]!]
+  return kinds.has('text') ? typesByValueKind.text : typesByValueKind.real
 }
 
-function readKind (value: EngineValue): keyof typeof types {
+function readValueKind (value: EngineValue): keyof typeof typesByValueKind {
   if (value === null) return 'null'
   if (typeof value === 'bigint') return 'integer'
   if (typeof value === 'number') return 'real'
--- a/packages/standins/src/endpoint/semaphore.ts
+++ b/packages/standins/src/endpoint/semaphore.ts
@@ -12,23 +12,23 @@
 export function createSemaphore (limit: number, maxQueued: number): Semaphore {
   const queue: Array<(release: Release) => void> = []
   let holders = 0
-  let peak = 0
+  let peakHolders = 0
   const createRelease = (): Release => {
-    let released = false
+    let isReleased = false
     return () => {
-      if (released) return
-      released = true
+      if (isReleased) return
+      isReleased = true
       const next = queue.shift()
       if (next === undefined) holders--
       else next(createRelease())
     }
   }
   return {
-    countPeakHolders: () => peak,
+    countPeakHolders: () => peakHolders,
     acquire: async timeoutMs => {
       if (holders < limit) {
         holders++
-        peak = Math.max(peak, holders)
+        peakHolders = Math.max(peakHolders, holders)
         return createRelease()
       }
       if (queue.length >= maxQueued) return null
--- a/packages/standins/src/endpoint/start-endpoint.ts
+++ b/packages/standins/src/endpoint/start-endpoint.ts
@@ -1,10 +1,10 @@
 import { createLogger } from '@camphorpitch/wire'
 import { startControlServer } from './control-server.ts'
 import { createEngine } from './engine.ts'
-import { createFaultGate } from './fault-gate.ts'
+import { createFaultInjector } from './fault-gate.ts'
 import { GroupMember } from './group-member.ts'
 import { createGroupState, type GroupState, type PrimaryAddress } from './group-rules.ts'
-import type { InstanceParts } from './instance-session.ts'
+import type { InstanceContext } from './instance-session.ts'
 import { startMysqlServer, type MysqlServer } from './mysql-server.ts'
 import { InstanceRecord } from './record.ts'
 import { startReplication, type Replication } from './replication.ts'
@@ -39,47 +39,47 @@
   const settings = endpointSettingsSchema.parse(options)
   const logger = createLogger({ process: settings.instance, level: settings.logLevel })
   const engine = await createEngine()
-  const gate = createFaultGate(settings)
+  const injector = createFaultInjector(settings)
   const record = new InstanceRecord()
-  const late: { replication?: Replication, server?: MysqlServer } = {}
+  const startedLater: { replication?: Replication, server?: MysqlServer } = {}
   const handleRoleChange = (): void => {
     const { term, role, primary } = member.state
     logger.info('role changed', { term, role, primary: primary?.instance ?? null })
-    late.server?.cancelTransactions()
-    late.replication?.reset()
+    startedLater.server?.cancelTransactions()
+    startedLater.replication?.reset()
   }
   const stateFile = settings.stateFile === undefined ? undefined : openStateFile(settings.stateFile)
-  const member = new GroupMember({ state: createInitialState(settings), engine, gate, stateFile, handleRoleChange })
+  const member = new GroupMember({ state: createInitialState(settings), engine, injector, stateFile, handleRoleChange })
   const address: PrimaryAddress = { instance: settings.instance, host: settings.host, port: 0 }
-  const parts: InstanceParts = {
+  const context: InstanceContext = {
     engine,
-    gate,
+    injector,
     member,
     record,
     slots: createSemaphore(settings.slots, MAX_QUEUED_STATEMENTS),
     writerLock: createSemaphore(1, MAX_QUEUED_WRITERS),
     address: () => address
   }
-  const server = await startMysqlServer(settings, parts)
+  const server = await startMysqlServer(settings, context)
   address.port = server.port
-  const replication = startReplication({ member, gate, password: settings.password, logger })
-  Object.assign(late, { server, replication })
+  const replication = startReplication({ member, injector, password: settings.password, logger })
+  Object.assign(startedLater, { server, replication })
   const stop = async (): Promise<void> => {
     replication.stop()
     member.stop()
     await Promise.all([server.stop(), control.stop()])
   }
   const kill = onKill ?? (() => { stop().catch(() => {}) })
-  const control = await startControlServer({ port: settings.controlPort, gate, member, record, kill })
+  const control = await startControlServer({ port: settings.controlPort, injector, member, record, kill })
   const { instance, host } = settings
   logger.info('listening', { instance, host, port: server.port, controlPort: control.port, failureDomain: settings.failureDomain })
-  return { instance, host, port: server.port, controlPort: control.port, record, member, applyFaults: gate.update, countPeakSlots: parts.slots.countPeakHolders, stop }
+  return { instance, host, port: server.port, controlPort: control.port, record, member, applyFaults: injector.update, countPeakSlots: context.slots.countPeakHolders, stop }
 }
 
 function createInitialState (settings: EndpointSettings): GroupState {
   const { instance, initialPrimary, initialTerm, host, port } = settings
-  const listed = settings.members.find(m => m.instance === initialPrimary) ?? null
-  const primary = instance === initialPrimary ? { instance, host, port } : listed
+  const listedPrimary = settings.members.find(m => m.instance === initialPrimary) ?? null
+  const primary = instance === initialPrimary ? { instance, host, port } : listedPrimary
   const state = createGroupState(instance, initialTerm, primary)
   if (settings.stateFile !== undefined) readStateFile(settings.stateFile, state)
   return state
--- a/packages/standins/src/endpoint/state-file.ts
+++ b/packages/standins/src/endpoint/state-file.ts
@@ -24,13 +24,13 @@
   }),
   z.object({ kind: z.literal('entries'), keptIndex: z.number().int(), entries: z.array(entrySchema) })
 ])
-type Change = z.infer<typeof changeSchema>
+type StateChange = z.infer<typeof changeSchema>
 
 /** Records nothing: the instance forgets all when it ends. */
-export const noStateFile: StateFile = { recordTerm: () => {}, recordEntries: () => {} }
+export const nullStateFile: StateFile = { recordTerm: () => {}, recordEntries: () => {} }
 
 export function openStateFile (path: string): StateFile {
-  const write = (change: Change): void => { appendFileSync(path, `${JSON.stringify(change)}\n`) }
+  const write = (change: StateChange): void => { appendFileSync(path, `${JSON.stringify(change)}\n`) }
   return {
     recordTerm: ({ term, promoter, role, primary }) => { write({ kind: 'term', term, promoter, role, primary }) },
     recordEntries: (keptIndex, entries) => { write({ kind: 'entries', keptIndex, entries: [...entries] }) }
@@ -49,7 +49,7 @@
   }
 }
 
-function applyChange (state: GroupState, change: Change): void {
+function applyChange (state: GroupState, change: StateChange): void {
   if (change.kind === 'entries') {
     state.log.splice(change.keptIndex, state.log.length, ...change.entries)
     return
--- a/packages/standins/src/platform/call-meter.ts
+++ b/packages/standins/src/platform/call-meter.ts
@@ -24,10 +24,10 @@
 /** Counts calls by type and refuses those over the rate of their second. */
 export class CallMeter {
   readonly #options: CallMeterOptions
-  readonly #total = createCounts()
-  #current = createCounts()
-  #previous = createCounts()
-  #window = 0
+  readonly #totalCounts = createCounts()
+  #currentCounts = createCounts()
+  #previousCounts = createCounts()
+  #windowIndex = 0
   #refused = 0
 
   constructor (options: CallMeterOptions) {
@@ -36,30 +36,30 @@
 
   /** Counts the call; false when it is over the rate. */
   admitCall (type: CallType, nowMs: number): boolean {
-    this.#openWindow(nowMs)
-    const { write, delete: removed, list, read, watch, vms } = this.#current
+    this.#advanceWindow(nowMs)
+    const { write, delete: deletes, list, read, watch, vms } = this.#currentCounts
     const isWrite = type === 'write' || type === 'delete'
-    const used = isWrite ? write + removed : list + read + watch + vms
+    const used = isWrite ? write + deletes : list + read + watch + vms
     const limit = isWrite ? this.#options.writesPerSecond : this.#options.readsPerSecond
     if (used >= limit) {
       this.#refused += 1
       return false
     }
-    this.#current[type] += 1
-    this.#total[type] += 1
+    this.#currentCounts[type] += 1
+    this.#totalCounts[type] += 1
     return true
   }
 
   readReport (nowMs: number): CallReport {
-    this.#openWindow(nowMs)
-    return { total: { ...this.#total }, lastSecond: { ...this.#previous }, refused: this.#refused }
+    this.#advanceWindow(nowMs)
+    return { total: { ...this.#totalCounts }, lastSecond: { ...this.#previousCounts }, refused: this.#refused }
   }
 
-  #openWindow (nowMs: number): void {
-    const window = Math.floor(nowMs / WINDOW_MS)
-    if (window === this.#window) return
-    this.#previous = window === this.#window + 1 ? this.#current : createCounts()
-    this.#current = createCounts()
-    this.#window = window
+  #advanceWindow (nowMs: number): void {
+    const windowIndex = Math.floor(nowMs / WINDOW_MS)
+    if (windowIndex === this.#windowIndex) return
+    this.#previousCounts = windowIndex === this.#windowIndex + 1 ? this.#currentCounts : createCounts()
+    this.#currentCounts = createCounts()
+    this.#windowIndex = windowIndex
   }
 }
--- a/packages/standins/src/platform/control-routes.ts
+++ b/packages/standins/src/platform/control-routes.ts
@@ -20,7 +20,7 @@
     return await reply.code(code).send({ error: error instanceof z.ZodError ? z.prettifyError(error) : String(error) })
   })
   server.post('/faults', async request => setFaults(state, request.body))
-  server.get('/counts', async () => ({ ...state.meter.readReport(state.clock.readNow()), waitingWatches: state.store.waiting }))
+  server.get('/counts', async () => ({ ...state.meter.readReport(state.clock.readNow()), waitingWatches: state.store.waiterCount }))
   server.put('/vms/:vm', async request => {
     const { vm: name } = vmParamsSchema.parse(request.params)
     const vm = vmSchema.parse({ ...request.body as object, vm: name })
@@ -36,8 +36,8 @@
 }
 
 /** Merges some faults into those in force. */
-export function setFaults (state: PlatformState, part: unknown): PlatformFaults {
-  const merged = platformFaultsSchema.parse({ ...state.faults, ...part as object })
+export function setFaults (state: PlatformState, change: unknown): PlatformFaults {
+  const merged = platformFaultsSchema.parse({ ...state.faults, ...change as object })
   Object.assign(state.faults, merged)
   if (merged.outage) state.store.cancelWaits()
   return state.faults
--- a/packages/standins/src/platform/object-routes.ts
+++ b/packages/standins/src/platform/object-routes.ts
@@ -57,7 +57,7 @@
   const version = versionSchema.parse(request.headers['if-match']?.replaceAll('"', ''))
   const result = state.store.replaceObject(kind, name, version, value)
   if (result === versionConflict) return await reply.code(409).send({ error: 'the version has moved on' })
-  if (state.decideLostAnswer()) {
+  if (state.decideResponseLoss()) {
     reply.hijack()
     request.raw.socket.destroy()
     return reply
--- a/packages/standins/src/platform/object-store.ts
+++ b/packages/standins/src/platform/object-store.ts
@@ -15,7 +15,7 @@
   readonly #waiters = new Set<Waiter>()
   readonly #historyLength: number
   #history: StoredObject[] = []
-  #droppedRevision = 0
+  #lastDroppedRevision = 0
   #revision = 0
 
   constructor (historyLength: number) {
@@ -26,7 +26,7 @@
     return this.#revision
   }
 
-  get waiting (): number {
+  get waiterCount (): number {
     return this.#waiters.size
   }
 
@@ -53,7 +53,7 @@
 
   /** Changes after `since`, the last of each object; `undefined` when the log no longer reaches back. */
   listChanges (kinds: ReadonlySet<string>, since: number): StoredObject[] | undefined {
-    if (since < this.#droppedRevision || since > this.#revision) return undefined
+    if (since < this.#lastDroppedRevision || since > this.#revision) return undefined
     const changes = this.#history.filter(o => o.revision > since && kinds.has(o.kind))
     return changes.filter(o => this.#objects.get(formatKey(o.kind, o.name)) === o)
   }
@@ -61,13 +61,13 @@
   /** Resolves at the next change of one of the kinds, or after `waitMs`. */
   async waitForChange (kinds: ReadonlySet<string>, waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
-      const end = () => {
+      const finish = () => {
         clearTimeout(timer)
         this.#waiters.delete(waiter)
         resolve()
       }
-      const waiter = { kinds, resolve: end }
-      const timer = setTimeout(end, waitMs)
+      const waiter = { kinds, resolve: finish }
+      const timer = setTimeout(finish, waitMs)
       this.#waiters.add(waiter)
     })
   }
@@ -87,7 +87,7 @@
 
   #dropOldChanges (): void {
     const dropped = this.#history.length - this.#historyLength
-    this.#droppedRevision = this.#history[dropped - 1]?.revision ?? this.#droppedRevision
+    this.#lastDroppedRevision = this.#history[dropped - 1]?.revision ?? this.#lastDroppedRevision
     this.#history = this.#history.slice(dropped)
   }
 }
--- a/packages/standins/src/platform/platform-state.ts
+++ b/packages/standins/src/platform/platform-state.ts
@@ -12,5 +12,5 @@
   vms: VmRegistry
   faults: PlatformFaults
   /** Decides on each write, and counts down `faults.loseAnswers`. */
-  decideLostAnswer: () => boolean
+  decideResponseLoss: () => boolean
 }
--- a/packages/standins/src/platform/platform.test.ts
+++ b/packages/standins/src/platform/platform.test.ts
@@ -4,7 +4,7 @@
 
 const owners = { shares: {} }
 
-async function recordError (promise: Promise<unknown>): Promise<unknown> {
+async function readError (promise: Promise<unknown>): Promise<unknown> {
   return await promise.then(() => undefined, (error: unknown) => error)
 }
 
@@ -21,35 +21,35 @@
 
   it('writes conditionally, and versions of a name go on after a deletion', async () => {
     const first = await client.writeObject('limit-owners', 'owners', 0, owners)
-    expect(await recordError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(ConflictError)
+    expect(await readError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(ConflictError)
     await client.deleteObject('limit-owners', 'owners', first.version)
     expect(await client.findObject('limit-owners', 'owners')).equal(null)
-    const again = await client.writeObject('limit-owners', 'owners', 0, owners)
-    expect(again.version).equal(3)
-    expect(await client.listObjects('limit-owners')).deep.equal({ revision: 3, objects: [again] })
+    const recreated = await client.writeObject('limit-owners', 'owners', 0, owners)
+    expect(recreated.version).equal(3)
+    expect(await client.listObjects('limit-owners')).deep.equal({ revision: 3, objects: [recreated] })
   })
 
   it('ends a waiting watch at a change, and answers 410 once the log is too short', async () => {
     const waiting = client.watchObjects(['limit-owners'], 0, 10_000)
-    while (platform.store.waiting === 0) await new Promise(resolve => setImmediate(resolve))
+    while (platform.store.waiterCount === 0) await new Promise(resolve => setImmediate(resolve))
     let { version } = await client.writeObject('limit-owners', 'owners', 0, owners)
     expect((await waiting).changes.map(c => c.version)).deep.equal([1])
     for (let i = 0; i < 5; i++) version = (await client.writeObject('limit-owners', 'owners', version, owners)).version
-    expect(await recordError(client.watchObjects(['limit-owners'], 0, 0))).instanceOf(ExpiredRevisionError)
+    expect(await readError(client.watchObjects(['limit-owners'], 0, 0))).instanceOf(ExpiredRevisionError)
   })
 
   it('loses the answer of a write that took effect', async () => {
     platform.setFaults({ loseAnswers: 1 })
-    expect(await recordError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(UnknownOutcomeError)
+    expect(await readError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(UnknownOutcomeError)
     expect((await client.findObject('limit-owners', 'owners'))?.version).equal(1)
   })
 
   it('refuses everything in an outage, waiting watches included', async () => {
-    const waiting = recordError(client.watchObjects(['contract'], 0, 10_000))
-    while (platform.store.waiting === 0) await new Promise(resolve => setImmediate(resolve))
+    const waiting = readError(client.watchObjects(['contract'], 0, 10_000))
+    while (platform.store.waiterCount === 0) await new Promise(resolve => setImmediate(resolve))
     platform.setFaults({ outage: true })
     expect(await waiting).instanceOf(PlatformError)
-    expect(await recordError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(PlatformError).not.instanceOf(UnknownOutcomeError)
+    expect(await readError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(PlatformError).not.instanceOf(UnknownOutcomeError)
     expect(platform.store.revision).equal(0)
   })
 
--- a/packages/standins/src/platform/start-platform.ts
+++ b/packages/standins/src/platform/start-platform.ts
@@ -40,8 +40,8 @@
   const state = createPlatformState(settings)
   const objects = createObjectServer(state)
   const control = createControlServer(state)
-  const port = await listenOn(objects, settings.host, settings.port)
-  const controlPort = await listenOn(control, settings.host, settings.controlPort)
+  const port = await listenAt(objects, settings.host, settings.port)
+  const controlPort = await listenAt(control, settings.host, settings.controlPort)
   return {
     url: `http://${settings.host}:${port}`,
     controlUrl: `http://${settings.host}:${controlPort}`,
@@ -65,7 +65,7 @@
     meter: new CallMeter(settings),
     vms: new VmRegistry(),
     faults: { ...settings.faults },
-    decideLostAnswer: () => {
+    decideResponseLoss: () => {
       if (state.faults.loseAnswers === 0) return random() < state.faults.loseAnswerRate
       state.faults.loseAnswers -= 1
       return true
@@ -76,7 +76,7 @@
   return state
 }
 
-async function listenOn (server: FastifyInstance, host: string, port: number): Promise<number> {
+async function listenAt (server: FastifyInstance, host: string, port: number): Promise<number> {
   await server.listen({ host, port })
   return (server.server.address() as AddressInfo).port
 }
