--- a/packages/standins/src/endpoint/endpoint.test.ts
+++ b/packages/standins/src/endpoint/endpoint.test.ts
@@ -154,10 +154,10 @@
     const [connection] = [await openConnection(primary!), await openConnection(primary!)]
     expect(await readErrno(openConnection(primary!))).to.equal(TOO_MANY_CONNECTIONS_ERRNO)
     primary!.applyFaults({ freeze: true })
-    let answered = false
-    const pending = connection!.query('SELECT 1').then(() => { answered = true })
+    let hasReplied = false
+    const pending = connection!.query('SELECT 1').then(() => { hasReplied = true })
     await new Promise(resolve => setTimeout(resolve, 50))
-    expect(answered).to.equal(false)
+    expect(hasReplied).to.equal(false)
     primary!.applyFaults({ freeze: false })
     await pending
     const count = (await fetch(`http://127.0.0.1:${primary!.controlPort}/record/bytes?contains=SELECT%201`)).json()
