--- a/packages/standins/src/endpoint/authentication.ts
+++ b/packages/standins/src/endpoint/authentication.ts
@@ -6,7 +6,7 @@
   return hash.digest()
 }
 
-/** @example computeDigest('key').length // 20, SHA1(SHA1(key)) */
+/** Computes the digest SHA1(SHA1(password)) that a token is verified against. @example computeDigest('key').length // 20 */
 export function computeDigest (password: string): Buffer {
   return hashSha1(hashSha1(Buffer.from(password, 'utf8')))
 }
@@ -14,7 +14,7 @@
 /**
  * Verifies a `mysql_native_password` token against a digest.
  *
- * The token is SHA1(password) XOR SHA1(nonce + digest).
+ * The token is SHA1(password) XOR SHA1(nonce + digest). An empty password matches only a missing or empty token.
  */
 export function verifyToken (token: Buffer | undefined, nonce: Buffer, password: string): boolean {
   if (password === '') return token === undefined || token.length === 0
--- a/packages/standins/src/endpoint/control-server.ts
+++ b/packages/standins/src/endpoint/control-server.ts
@@ -13,7 +13,10 @@
   kill: () => void
 }
 
-/** Serves the faults and the record of an instance on loopback. */
+/**
+ * Starts the HTTP control server of an instance on loopback: it switches faults, kills the instance, and shows its
+ * status and its record.
+ */
 export async function startControlServer (options: ControlServerOptions): Promise<{ port: number, stop: () => Promise<void> }> {
   const { injector, member, record } = options
   const app = fastify({ forceCloseConnections: true })
--- a/packages/standins/src/endpoint/dialect.ts
+++ b/packages/standins/src/endpoint/dialect.ts
@@ -1,4 +1,4 @@
-/** The little of MySQL's dialect that differs from the embedded engine's. */
+/** Converts the parts of MySQL's dialect that the embedded engine (SQLite) does not understand. */
 
 export type StatementKind = 'read' | 'locking-read' | 'write' | 'begin' | 'commit' | 'rollback' | 'set' | 'group'
 
@@ -14,7 +14,7 @@
   SELECT: 'read', VALUES: 'read', EXPLAIN: 'read', BEGIN: 'begin', START: 'begin', COMMIT: 'commit', ROLLBACK: 'rollback', SET: 'set', GROUP: 'group'
 }
 
-/** @example readStatementKind('START TRANSACTION') // 'begin' */
+/** Determines the kind of a statement from its text. @example readStatementKind('START TRANSACTION') // 'begin' */
 export function readStatementKind (text: string): StatementKind {
   const word = readFirstWord(text)
   if (word === 'SELECT' && FOR_UPDATE.test(text)) return 'locking-read'
@@ -23,7 +23,7 @@
   return statementKindsByFirstWord[word] ?? 'write'
 }
 
-/** Converts quoted strings with backslash escapes, and locking reads, to what the engine understands. */
+/** Converts a MySQL statement for the engine: rewrites strings with backslash escapes and removes `FOR UPDATE`. */
 export function convertToEngine (text: string): string {
   const withoutLock = text.replace(FOR_UPDATE, '')
   return withoutLock.replace(/'(?:[^'\\]|\\[\s\S]|'')*'|"(?:[^"\\]|\\[\s\S]|"")*"|`[^`]*`|--[^\n]*|\/\*[\s\S]*?\*\//g, token => {
--- a/packages/standins/src/endpoint/endpoint.test.ts
+++ b/packages/standins/src/endpoint/endpoint.test.ts
@@ -44,7 +44,7 @@
     group = []
   })
 
-  it('returns every type exactly, and tells the position of a commit', async () => {
+  it('returns values of every type unchanged, and the position of a commit', async () => {
     const [primary] = await startGroup()
     const connection = await openConnection(primary!)
     await connection.query('CREATE TABLE t (id INTEGER PRIMARY KEY, big BIGINT, amount DECIMAL(10,2), day DATE, at DATETIME, note TEXT, raw BLOB, ratio DOUBLE)')
@@ -61,7 +61,7 @@
     expect(await readErrno(connection.query('INSERT INTO t (id) VALUES (7)'))).to.equal(1062)
   })
 
-  it('replicates, and refuses a write at a replica', async () => {
+  it('replicates writes to a replica, which refuses writes of clients', async () => {
     const [primary, replica] = await startGroup()
     const writer = await openConnection(primary!)
     const reader = await openConnection(replica!)
@@ -74,7 +74,7 @@
     expect(await readErrno(reader.query('INSERT INTO t VALUES (2)'))).to.equal(NOT_PRIMARY_ERRNO)
   })
 
-  it('hides an open transaction from others, and rolls it back when its connection closes', async () => {
+  it('hides an open transaction from other connections, and rolls it back when its connection closes', async () => {
     const [primary] = await startGroup()
     const [writer, other] = [await openConnection(primary!), await openConnection(primary!)]
     await writer.query('CREATE TABLE t (id INTEGER)')
@@ -88,7 +88,7 @@
     expect(await count(other)).to.equal(1)
   })
 
-  it('changes its primary, and drops what only the old primary held', async () => {
+  it('drops transactions that only the old primary had when the group changes its primary', async () => {
     const [first, second, third] = await startGroup()
     const [old, next, last] = await Promise.all([first!, second!, third!].map(e => openConnection(e)))
     const [ok] = await old!.query<ResultSetHeader>('CREATE TABLE t (id INTEGER)')
@@ -134,7 +134,7 @@
     await rm(dirname(stateFile), { recursive: true })
   })
 
-  it('runs no more statements at once than it has slots, and injects faults', async () => {
+  it('runs no more statements at the same time than it has slots, and injects faults', async () => {
     const [primary] = await startGroup({ slots: 2, statementDelayMs: 5 })
     const clients = await Promise.all([1, 2, 3, 4, 5].map(() => openConnection(primary!)))
     await Promise.all(clients.map(c => c.query('SELECT 1')))
@@ -148,7 +148,7 @@
     expect((await other.query('SELECT id FROM t'))[0]).to.deep.equal([{ id: 2 }])
   })
 
-  it('answers nothing while frozen, limits its connections and refuses a wrong password', async () => {
+  it('sends no reply while frozen, limits its connections and refuses a wrong password', async () => {
     const [primary] = await startGroup({ maxConnections: 2 })
     expect(await readErrno(openConnection(primary!, { password: 'wrong' }))).to.equal(1045)
     const [connection] = [await openConnection(primary!), await openConnection(primary!)]
--- a/packages/standins/src/endpoint/engine.ts
+++ b/packages/standins/src/endpoint/engine.ts
@@ -16,6 +16,7 @@
   insertId: number
 }
 
+/** Maps the engine's error messages to MySQL error numbers; the first match counts. */
 const errnoByMessage: Array<[RegExp, number]> = [
   [/no such table/, NO_SUCH_TABLE_ERRNO],
   [/no such column/, NO_SUCH_COLUMN_ERRNO],
@@ -32,8 +33,8 @@
 }
 
 /**
- * The embedded database of an instance: `visible` holds what is applied, `head` the open
- * transaction of the one writer.
+ * The embedded database of an instance. Queries read a database of the applied transactions; the open transaction
+ * of the only writer runs on a copy of it, the writer's database.
  */
 export class Engine {
   readonly #sql: SqlJsStatic
@@ -46,7 +47,7 @@
     this.#appliedDatabase = new sql.Database()
   }
 
-  /** Runs a query on committed rows, or on those of the open transaction too. */
+  /** Runs a query on the applied rows, or with `inOpenTransaction` on those that the open transaction sees. */
   read (text: string, inOpenTransaction: boolean): ResultSet {
     const database = inOpenTransaction && this.#hasOpenTransaction ? this.#openWriterDatabase() : this.#appliedDatabase
     return runQuery(database, text)
@@ -57,7 +58,11 @@
     this.#hasOpenTransaction = true
   }
 
-  /** Runs one statement in the open transaction; on an error that statement alone has no effect. */
+  /**
+   * Runs one statement in the open transaction. A statement that fails has no effect; the transaction stays open.
+   *
+   * @throws StatementError
+   */
   write (text: string): WriteResult {
     return runWrite(this.#openWriterDatabase(), text)
   }
@@ -73,13 +78,18 @@
     this.#openWriterDatabase().run('ROLLBACK')
   }
 
-  /** Makes a committed transaction visible to queries. */
+  /**
+   * Makes a committed transaction visible to queries.
+   *
+   * @param wasCommittedByWriter whether the writer's database has the transaction already; otherwise that database
+   *   is outdated and gets closed
+   */
   apply (statements: readonly string[], wasCommittedByWriter: boolean): void {
     for (const text of statements) runWrite(this.#appliedDatabase, text)
     if (!wasCommittedByWriter) this.#closeWriterDatabase()
   }
 
-  /** Begins anew from the given transactions. */
+  /** Replaces the contents by the result of the given transactions, applied in order to an empty database. */
   restore (transactions: ReadonlyArray<readonly string[]>): void {
     this.#closeWriterDatabase()
     this.#appliedDatabase.close()
@@ -104,7 +114,7 @@
   }
 }
 
-/** @example const engine = await createEngine() */
+/** Creates an engine with an empty database in memory. @example const engine = await createEngine() */
 export async function createEngine (): Promise<Engine> {
   return new Engine(await initSqlJs())
 }
--- a/packages/standins/src/endpoint/errors.ts
+++ b/packages/standins/src/endpoint/errors.ts
@@ -3,7 +3,7 @@
 /** MySQL's `ER_UNKNOWN_ERROR`. */
 export const UNKNOWN_ERRNO = 1105
 
-/** An error that goes to the client with the MySQL error number `errno`. */
+/** A statement failed; the client receives the message and the MySQL error number `errno`. */
 export const StatementError = BaseError.subclass('StatementError', { props: { errno: UNKNOWN_ERRNO } })
 
 /** @example throw createStatementError(1064, 'syntax error') */
--- a/packages/standins/src/endpoint/fault-gate.ts
+++ b/packages/standins/src/endpoint/fault-gate.ts
@@ -2,17 +2,24 @@
 import type { EndpointSettings, FaultChange, Faults } from './settings.ts'
 import { faultsSchema } from './settings.ts'
 
-/** The faults in force, and a gate that stays shut while the instance is frozen. */
+/** Holds the faults in force, decides which statements they affect, and makes operations wait while the instance is frozen. */
 export interface FaultInjector {
   readonly faults: Faults
+  /**
+   * Merges a change into the faults in force and calls the listeners.
+   *
+   * @throws ZodError for an invalid change
+   */
   update: (change: FaultChange) => void
-  /** Resolves at once unless the instance is frozen. */
+  /** Resolves as soon as the instance is not frozen. */
   waitUntilUnfrozen: () => Promise<void>
+  /** Whether the link to another instance of the group is cut. */
   isPeerCut: (instance: string) => boolean
-  /** Draws whether the next statement fails. */
+  /** Decides at random, with the probability `failRate`, whether the next statement fails. */
   decideStatementFailure: () => boolean
-  /** True, and one less to drop, while replies are to be dropped. */
+  /** Decides whether the next reply is dropped, and counts `dropReplies` down if so. */
   decideReplyDrop: () => boolean
+  /** Registers a listener that is called after each change of the faults. */
   subscribe: (listener: () => void) => void
 }
 
--- a/packages/standins/src/endpoint/group-commands.ts
+++ b/packages/standins/src/endpoint/group-commands.ts
@@ -18,7 +18,7 @@
   entries: z.array(z.object({ term: z.number().int(), statements: z.array(z.string()) }))
 })
 
-/** The statement by which a replica asks its primary for entries; between instances only. */
+/** Formats the statement with which a replica requests log entries from its primary. Only instances send it. */
 export function formatLogRequest (request: LogRequest, replica: string, waitMs: number): string {
   return `GROUP LOG '${JSON.stringify(request)}' FOR '${replica}' WAIT ${waitMs}`
 }
@@ -40,7 +40,12 @@
   })]
 ]
 
-/** @returns `null` for a text that is no group statement */
+/**
+ * Parses a statement that reads or changes the state of the group.
+ *
+ * @returns `null` for a text that is not a group statement
+ * @throws SyntaxError, ZodError for a log request with an invalid body
+ */
 export function parseGroupCommand (text: string): GroupCommand | null {
   const trimmed = text.trim().replace(/;$/, '')
   for (const [pattern, build] of parsers) {
--- a/packages/standins/src/endpoint/group-member.ts
+++ b/packages/standins/src/endpoint/group-member.ts
@@ -10,7 +10,7 @@
 const MAX_SHIPMENT_ENTRIES = 500
 
 interface Waiter {
-  /** Resolves the waiter's promise and returns true once its wait is over. */
+  /** Resolves the waiter's promise and returns true if its condition holds or `expired` is true. */
   finishIfReady: (expired: boolean) => boolean
 }
 
@@ -23,7 +23,10 @@
   handleRoleChange: () => void
 }
 
-/** Hosts the group rules of one instance: keeps the engine at the applied position and wakes who waits. */
+/**
+ * Runs the group rules of one instance: stores each change of its state in the state file, applies log entries to the
+ * engine and resolves the promises of those who wait for a position.
+ */
 export class GroupMember {
   readonly state: GroupState
   readonly #engine: Engine
@@ -54,6 +57,7 @@
     return { ...status, primaryHeardMs: Math.round(performance.now() - this.#lastPrimaryResponseAtMs) }
   }
 
+  /** Grants a term to a promoter, see `fence` of the group rules; false when it is refused. */
   fence (term: number, promoter: string): boolean {
     const before = this.state.term
     if (!fence(this.state, term, promoter)) return false
@@ -61,6 +65,7 @@
     return true
   }
 
+  /** Makes the instance primary, see `promote` of the group rules; false when it is refused. */
   promote (term: number, promoter: string, address: PrimaryAddress): boolean {
     const wasPrimary = this.isPrimary()
     if (!promote(this.state, term, promoter, address)) return false
@@ -71,6 +76,7 @@
     return true
   }
 
+  /** Makes the instance a replica of `primary`, see `follow` of the group rules; false when it is refused. */
   follow (term: number, primary: PrimaryAddress): boolean {
     const { term: before, role } = this.state
     if (!follow(this.state, term, primary)) return false
@@ -81,7 +87,7 @@
     return true
   }
 
-  /** Adds a transaction that the engine has just committed, at the primary. */
+  /** Appends a transaction that the engine has just committed to the log of this primary, and returns its position. */
   addTransaction (statements: string[]): LogPosition {
     const position = addEntry(this.state, statements)
     this.#stateFile.recordEntries(position.index - 1, this.state.log.slice(position.index - 1))
@@ -91,10 +97,12 @@
     return position
   }
 
+  /** Records that the primary has just responded; the time since then is part of the status. */
   recordPrimaryResponse (): void {
     this.#lastPrimaryResponseAtMs = performance.now()
   }
 
+  /** Merges entries from the primary into the log and schedules their application; false when they are refused. */
   receiveShipment (shipment: Shipment): boolean {
     const appliedIndexBefore = this.state.appliedIndex
     const outcome = applyShipment(this.state, shipment)
@@ -109,7 +117,10 @@
     return true
   }
 
-  /** Waits until the log holds `position` in its term, or until that cannot be any more. */
+  /**
+   * Waits until the log holds `position` in its term, or until a newer term makes that impossible, for at most
+   * `timeoutMs`. `reached` in the result tells whether the log holds it.
+   */
   waitForPosition (position: LogPosition, timeoutMs: number): Promise<WaitResult> {
     const read = (): WaitResult => ({
       reached: hasEntryInCurrentTerm(this.state, position), term: this.state.term, logged: readPosition(this.state.log, this.state.log.length)
@@ -117,7 +128,11 @@
     return this.#wait(() => read().reached || this.state.term > position.term, read, timeoutMs)
   }
 
-  /** Answers a replica as soon as there are entries that it lacks; `null` when this is not its primary. */
+  /**
+   * Waits up to `waitMs` for entries that the requesting replica lacks, or until its log has to be cut back.
+   *
+   * @returns `null` when this instance is not the primary of the request's term; without entries after `waitMs`
+   */
   waitForShipment (request: LogRequest, waitMs: number): Promise<Shipment | null> {
     const read = (): Shipment | null => createShipment(this.state, request, MAX_SHIPMENT_ENTRIES)
     const isReady = (): boolean => {
@@ -127,6 +142,7 @@
     return this.#wait(isReady, read, waitMs)
   }
 
+  /** Resolves all waits and applies no more entries. */
   stop (): void {
     this.#stopped = true
     for (const w of this.#waiters) w.finishIfReady(true)
@@ -164,6 +180,10 @@
     this.#checkWaiters()
   }
 
+  /**
+   * Applies the entries that the log has now after the configured delay. Skips them when the instance is frozen by
+   * then, or when other entries have replaced them; the next shipment or change of faults schedules the application again.
+   */
   #scheduleApply (): void {
     const { log, appliedIndex } = this.state
     if (appliedIndex === log.length || this.#stopped) return
--- a/packages/standins/src/endpoint/group-rules.ts
+++ b/packages/standins/src/endpoint/group-rules.ts
@@ -1,7 +1,8 @@
 import type { InstanceStatus, LogPosition, TermStart } from '@camphorpitch/wire'
 
 /**
- * The rules that an instance of a database group follows, without sockets, clocks or an engine.
+ * The rules that an instance of a database group follows, as functions of its state, without sockets, clocks or
+ * an engine.
  *
  * Terms are granted and logs are matched as in Raft (Ongaro and Ousterhout, 2014, sections 5.2 and
  * 5.3), except that a promoter outside of the group raises the term and names the primary.
@@ -21,26 +22,26 @@
 
 export interface GroupState {
   instance: string
-  /** Highest term promised to. */
+  /** Highest term that the instance has promised to follow; it refuses older ones. */
   term: number
-  /** Who was granted `term`; `null` when it was learnt from a primary's existence. */
+  /** Name of the promoter that `term` was granted to; `null` in the initial term and when the instance learnt of the term by following its primary. */
   promoter: string | null
   role: InstanceStatus['role']
   primary: PrimaryAddress | null
   /** The entry of index `i` is `log[i - 1]`. */
   log: LogEntry[]
-  /** Index of the last entry that queries see. */
+  /** Index of the last entry that is visible to queries. */
   appliedIndex: number
 }
 
-/** Entries of the primary of `term` that come right after `previous`. */
+/** Log entries that the primary of `term` sends to a replica; the first one follows directly after `previous`. */
 export interface Shipment {
   term: number
   previous: LogPosition
   entries: LogEntry[]
 }
 
-/** What a replica sends to learn which entries it lacks. */
+/** Describes the log of a replica, so that the primary can find out which entries the replica lacks. */
 export interface LogRequest {
   term: number
   /** Number of entries that the replica has received. */
@@ -50,28 +51,29 @@
 
 export interface ShipmentOutcome {
   accepted: boolean
-  /** Entries up to this index stayed as they were. */
+  /** Index of the last entry that was not replaced. */
   keptIndex: number
 }
 
-/** @example createGroupState('r1', 1, null) // an empty replica of term 1 without a primary */
+/** @example createGroupState('r1', 1, null) // an empty instance, fenced in term 1 without a primary */
 export function createGroupState (instance: string, term: number, primary: PrimaryAddress | null): GroupState {
   const role = primary === null ? 'fenced' : primary.instance === instance ? 'primary' : 'replica'
   return { instance, term, promoter: null, role, primary, log: [], appliedIndex: 0 }
 }
 
-/** Position of the last of the first `index` entries. */
+/** Returns the position of the entry with the given index; 0 is the position before the first entry. */
 export function readPosition (log: readonly LogEntry[], index: number): LogPosition {
   return { term: index === 0 ? 0 : log[index - 1]!.term, index }
 }
 
+/** Lists the terms in a log, each with the index of its first entry. */
 export function listTermStarts (log: readonly LogEntry[]): TermStart[] {
   const starts: TermStart[] = []
   for (let i = 0; i < log.length; i = findTermEnd(log, i)) starts.push([log[i]!.term, i + 1])
   return starts
 }
 
-/** Number of entries up to the end of the term that `log[start]` is in; terms never fall along a log. */
+/** Returns the index of the last entry in the term of `log[start]`. A binary search, as terms never decrease along a log. */
 function findTermEnd (log: readonly LogEntry[], start: number): number {
   const { term } = log[start]!
   let low = start + 1
@@ -97,7 +99,7 @@
 }
 
 /**
- * Grants a term to one promoter: the instance stops being primary or replica of any older term.
+ * Grants a term to one promoter. The instance is then fenced: it is no longer primary or replica of an older term.
  *
  * @returns false when a newer term, or this term to another promoter, has been promised
  */
@@ -112,8 +114,8 @@
 }
 
 /**
- * Makes the instance primary and begins the term with an empty entry, so that replicas drop at once
- * what only an older primary held.
+ * Makes the instance primary and begins the term with an empty entry, so that replicas at once drop entries
+ * that only an older primary had.
  *
  * @returns false unless the instance is fenced, or already primary, in `term` by `promoter`
  */
@@ -126,7 +128,11 @@
   return true
 }
 
-/** @returns false when a newer term is promised, or `term` has another primary */
+/**
+ * Makes the instance a replica of `primary` in `term`.
+ *
+ * @returns false when a newer term is promised, `term` has another primary, or the instance is `primary` itself
+ */
 export function follow (state: GroupState, term: number, primary: PrimaryAddress): boolean {
   if (term < state.term || primary.instance === state.instance) return false
   const knownPrimary = term === state.term ? state.primary?.instance : undefined
@@ -144,18 +150,26 @@
   return readPosition(state.log, state.log.length)
 }
 
+/** Creates the request for entries after those in `log`. */
 export function createLogRequest (term: number, log: readonly LogEntry[]): LogRequest {
   return { term, length: log.length, termStarts: listTermStarts(log) }
 }
 
-/** Answers a replica; `null` unless this instance is the primary of the request's term. */
+/**
+ * Creates the shipment with up to `maxEntries` entries that a replica lacks.
+ *
+ * @returns `null` unless this instance is the primary of the request's term
+ */
 export function createShipment (state: GroupState, request: LogRequest, maxEntries: number): Shipment | null {
   if (state.role !== 'primary' || state.term !== request.term) return null
   const index = findLastCommonIndex(state.log, request)
   return { term: state.term, previous: readPosition(state.log, index), entries: state.log.slice(index, index + maxEntries) }
 }
 
-/** Index of the last entry that is surely the same in both logs, by log matching. */
+/**
+ * Returns the index of the last entry that is certain to be the same in both logs: by Raft's log matching property,
+ * logs that have the same term at an index are equal up to it.
+ */
 function findLastCommonIndex (log: readonly LogEntry[], request: LogRequest): number {
   let index = Math.min(log.length, request.length)
   while (index > 0 && log[index - 1]!.term !== readTermAt(request.termStarts, index)) index--
@@ -166,7 +180,10 @@
   return starts.findLast(([, start]) => start <= index)?.[0] ?? 0
 }
 
-/** Takes entries from the primary of the instance's own term; a repeated or late shipment changes nothing. */
+/**
+ * Merges entries from the primary of the local term into the log. Entries that contradict it are replaced, and are no
+ * longer applied. A repeated or late shipment changes nothing.
+ */
 export function applyShipment (state: GroupState, shipment: Shipment): ShipmentOutcome {
   const rejected = { accepted: false, keptIndex: state.log.length }
   if (state.role !== 'replica' || state.term !== shipment.term) return rejected
@@ -176,7 +193,7 @@
   return { accepted: true, keptIndex }
 }
 
-/** Adds the entries of a shipment to a log that holds `previous`; returns the index up to which it stayed as it was. */
+/** Adds the entries of a shipment to a log that holds `previous`, and returns the index of the last entry that was not replaced. */
 export function mergeEntries (log: LogEntry[], shipment: Shipment): number {
   const start = shipment.previous.index
   let matching = 0
@@ -187,11 +204,12 @@
   return keptIndex
 }
 
+/** Whether the log holds the entry at `position`, with the same term. */
 export function hasEntry (log: readonly LogEntry[], position: LogPosition): boolean {
   return position.index === 0 || log[position.index - 1]?.term === position.term
 }
 
-/** Whether this instance counts towards the durability of `position`: it holds the entry and has promised nothing newer. */
+/** Whether this instance counts towards the durability of `position`: it holds the entry and has not promised a newer term. */
 export function hasEntryInCurrentTerm (state: GroupState, position: LogPosition): boolean {
   return state.term === position.term && hasEntry(state.log, position)
 }
--- a/packages/standins/src/endpoint/instance-session.ts
+++ b/packages/standins/src/endpoint/instance-session.ts
@@ -19,10 +19,10 @@
 export type Reply =
   | { kind: 'ok', affectedRows: number, insertId: number, position: LogPosition | null, inTransaction: boolean }
   | { kind: 'rows', result: ResultSet, inTransaction: boolean }
-  /** The statement ran, and its reply is lost. */
-  | { kind: 'silence' }
+  /** The client gets no reply: the connection closed before the statement ran, or a fault suppresses the reply. */
+  | { kind: 'no-reply' }
 
-/** What the sessions of an instance share. */
+/** The components of an instance that its sessions share. */
 export interface InstanceContext {
   engine: Engine
   injector: FaultInjector
@@ -36,12 +36,12 @@
 interface Transaction {
   term: number
   statements: string[]
-  /** Set once the first write holds the writer lock. */
+  /** Releases the writer lock; `null` until the first write or locking read of the transaction. */
   releaseLock: Release | null
   isAborted: boolean
 }
 
-/** One client connection's statements, run one after the other. */
+/** Runs the statements of one client connection, one after the other. */
 export class InstanceSession {
   readonly #context: InstanceContext
   readonly #connectionId: number
@@ -56,21 +56,25 @@
     this.#user = user
   }
 
-  /** @throws StatementError */
+  /**
+   * Runs a statement after those that were given before.
+   *
+   * @throws StatementError with the error for the client
+   */
   run (text: string): Promise<Reply> {
     const result = this.#lastStatement.then(() => this.#runStatement(text))
     this.#lastStatement = result.catch(() => {})
     return result
   }
 
-  /** Rolls back what is open; statements that still wait do not run. */
+  /** Rolls back an open transaction; pending statements do not run. */
   async close (): Promise<void> {
     this.#closed = true
     await this.#context.injector.waitUntilUnfrozen()
     this.#rollbackTransaction()
   }
 
-  /** Ends an open transaction because the instance is no longer its primary; the client learns it with its next statement. */
+  /** Rolls back an open transaction because the instance is no longer primary; the client's next statement gets the error. */
   cancelTransaction (): void {
     if (this.#transaction === null) return
     this.#rollbackAndReleaseLock(this.#transaction)
@@ -79,7 +83,7 @@
 
   async #runStatement (text: string): Promise<Reply> {
     await this.#context.injector.waitUntilUnfrozen()
-    if (this.#closed) return { kind: 'silence' }
+    if (this.#closed) return { kind: 'no-reply' }
     const command = parseGroupCommand(text)
     if (command !== null) return await this.#runGroupCommand(command)
     const kind = readStatementKind(text)
@@ -97,7 +101,10 @@
     }
   }
 
-  /** The writer lock is taken before a slot, so that its holder's next statement finds one. */
+  /**
+   * Acquires the writer lock for a statement that needs it and does not have it yet. The lock is acquired before a
+   * slot: otherwise statements that wait for the lock could fill all slots, and the holder's next statement gets none.
+   */
   async #acquireWriterLock (kind: StatementKind): Promise<Release | null> {
     const needsLock = kind === 'write' || kind === 'locking-read'
     if (!needsLock || !this.#context.member.isPrimary() || this.#transaction?.releaseLock != null) return null
@@ -113,7 +120,7 @@
     await injector.waitUntilUnfrozen()
     if (this.#closed) {
       releaseLock?.()
-      return { kind: 'silence' }
+      return { kind: 'no-reply' }
     }
     const statementRecord = record.addStatement({
       connection: this.#connectionId, user: this.#user, atMs: Date.now(), term: member.state.term, text, outcome: 'running'
@@ -122,7 +129,7 @@
       if (injector.decideStatementFailure()) throw createStatementError(UNKNOWN_ERRNO, 'injected failure')
       const reply = this.#executeStatement(kind, text, releaseLock)
       statementRecord.outcome = 'ok'
-      return injector.decideReplyDrop() ? { kind: 'silence' } : reply
+      return injector.decideReplyDrop() ? { kind: 'no-reply' } : reply
     } catch (error) {
       statementRecord.outcome = 'failed'
       throw error
@@ -190,6 +197,7 @@
     return { kind: 'rows', result: this.#context.engine.read(text, inOpenTransaction), inTransaction: this.#transaction !== null }
   }
 
+  /** Checks that a write may run. With a new lock, starts the engine's transaction for the client's open one. */
   #prepareWrite (releaseLock: Release | null): void {
     this.#ensurePrimaryWithLock(releaseLock)
     if (this.#transaction === null || releaseLock === null) return
@@ -216,7 +224,7 @@
     }
   }
 
-  /** An instance that became primary after the lock was asked for has not granted it. */
+  /** Checks the lock too: if the instance became primary only after `#acquireWriterLock`, the session has no lock. */
   #ensurePrimaryWithLock (releaseLock: Release | null): void {
     const { member } = this.#context
     const hasLock = releaseLock !== null || this.#transaction?.releaseLock != null
@@ -232,11 +240,11 @@
     const result = await this.#executeGroupCommand(command)
     await injector.waitUntilUnfrozen()
     if (result === false) throw createStatementError(STALE_TERM_ERRNO, `term ${member.state.term} is promised to ${member.state.promoter ?? 'its primary'}`)
-    if (result === null) return { kind: 'silence' }
+    if (result === null) return { kind: 'no-reply' }
     return { kind: 'rows', result: createTextResult('status', JSON.stringify(result)), inTransaction: this.#transaction !== null }
   }
 
-  /** The answer; `false` for a stale term, `null` for none at all. */
+  /** Returns the reply's content; `false` for a stale term, `null` when there is no reply since the link to the peer is cut. */
   async #executeGroupCommand (command: GroupCommand): Promise<object | false | null> {
     const { member, injector, address } = this.#context
     switch (command.kind) {
--- a/packages/standins/src/endpoint/mysql-connection.ts
+++ b/packages/standins/src/endpoint/mysql-connection.ts
@@ -10,7 +10,10 @@
 const UNKNOWN_COMMAND_ERRNO = 1047
 const UNSUPPORTED_ERRNO = 1295
 
-/** LONG_PASSWORD, FOUND_ROWS, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41, TRANSACTIONS, SECURE_CONNECTION; never SESSION_TRACK. */
+/**
+ * LONG_PASSWORD, FOUND_ROWS, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41, TRANSACTIONS, SECURE_CONNECTION. Not
+ * SESSION_TRACK, which would change the format of OK packets.
+ */
 const CAPABILITY_FLAGS = 0x0001 | 0x0002 | 0x0004 | 0x0008 | 0x0200 | 0x2000 | 0x8000
 
 interface OutgoingPacket {
@@ -29,7 +32,7 @@
 
 type AuthCallback = (request: AuthRequest, done: (error: null, refusal?: { message: string, code: number }) => void) => void
 
-/** The part of a `mysql2` server connection that is used here; the library's types leave it out. */
+/** The members of a `mysql2` server connection that are used here; the library's types do not declare them. */
 export interface ServerConnection extends EventEmitter {
   stream: Socket
   sequenceId: number
@@ -43,7 +46,10 @@
   writePacket: (packet: OutgoingPacket) => void
 }
 
-/** Greets a client; cells and messages are then given as one character a byte. */
+/**
+ * Sends the initial handshake to a client. Sets the connection's encoding to latin1, so that cells and messages are
+ * strings with one character per byte.
+ */
 export function sendHandshake (connection: ServerConnection, connectionId: number, authCallback: AuthCallback): void {
   connection.serverHandshake({
     protocolVersion: 10,
@@ -61,7 +67,7 @@
   runQuery: (text: string) => void
 }
 
-/** Answers every command, those that are not supported by an error. */
+/** Replies to every command; commands that are not supported get an error. */
 export function listenForCommands (connection: ServerConnection, { runQuery }: CommandHandlers): void {
   const sendOk = (): void => { sendReply(connection, { kind: 'ok', affectedRows: 0, insertId: 0, position: null, inTransaction: false }) }
   const refusePreparedStatement = (): void => { sendError(connection, createStatementError(UNSUPPORTED_ERRNO, 'prepared statements are not supported')) }
@@ -79,13 +85,14 @@
   })
 }
 
+/** Sends the result of a statement, unless the reply is dropped or the connection is closed. */
 export function sendReply (connection: ServerConnection, reply: Reply): void {
-  if (reply.kind === 'silence' || connection.stream.destroyed) return
+  if (reply.kind === 'no-reply' || connection.stream.destroyed) return
   if (reply.kind === 'ok') {
     const info = reply.position === null ? '' : formatCommitInfo(reply.position)
     connection.writePacket(createOkPacket(reply.affectedRows, reply.insertId, computeStatusFlags(reply.inTransaction), info))
   } else {
-    // One system call for the whole reply in place of one for each packet.
+    // Corking sends the whole reply with one system call instead of one per packet.
     connection.stream.cork()
     connection.writeColumns(reply.result.columns)
     for (const row of reply.result.rows) connection.writeTextRow(row)
@@ -95,6 +102,7 @@
   connection.sequenceId = 0
 }
 
+/** Sends an error packet; characters of its message other than printable ASCII are replaced by `?`. */
 export function sendError (connection: ServerConnection, error: unknown): void {
   if (connection.stream.destroyed) return
   const code = error instanceof StatementError ? Number(error.errno) : UNKNOWN_ERRNO
@@ -107,7 +115,7 @@
   return inTransaction ? STATUS_AUTOCOMMIT | STATUS_IN_TRANSACTION : STATUS_AUTOCOMMIT
 }
 
-/** An OK packet with an info text, which the library's own leaves out. */
+/** Creates an OK packet with an info text; the library's `writeOk` cannot send one. */
 function createOkPacket (affectedRows: number, insertId: number, status: number, info: string): OutgoingPacket {
   const statusAndWarnings = Buffer.alloc(4)
   statusAndWarnings.writeUInt16LE(status, 0)
@@ -124,7 +132,7 @@
   }
 }
 
-/** MySQL's length-encoded integer. */
+/** Encodes MySQL's length-encoded integer. */
 function encodeLengthEncodedInteger (value: number): Buffer {
   if (value < 0xfb) return Buffer.from([value])
   const buffer = Buffer.alloc(9)
--- a/packages/standins/src/endpoint/mysql-server.ts
+++ b/packages/standins/src/endpoint/mysql-server.ts
@@ -8,25 +8,27 @@
 import type { EndpointSettings } from './settings.ts'
 
 const ACCESS_DENIED_ERRNO = 1045
-/** User name under which a replica connects to its primary; such connections do not count towards the limit. */
+/** Prefix of the user name with which a replica connects to its primary; such connections do not count towards the limit. */
 export const PEER_USER_PREFIX = 'replica:'
 
 interface ClientConnection {
   connection: ServerConnection
   session: InstanceSession | null
+  /** Whether a replica of the group has connected. */
   isPeer: boolean
+  /** Whether it counts towards the connection limit. */
   isCounted: boolean
 }
 
 export interface MysqlServer {
   port: number
-  /** Ends every open transaction. */
+  /** Rolls back every open transaction. */
   cancelTransactions: () => void
   /** Closes the port and every connection at once. */
   stop: () => Promise<void>
 }
 
-/** The library's server as it is; its types ask for other arguments. */
+/** The members of the library's server that are used here; the library's types declare other arguments. */
 interface LibraryServer {
   _server: TcpServer
   on: (event: 'connection', listener: (connection: unknown) => void) => void
@@ -35,7 +37,11 @@
 
 const createLibraryServer = mysql.createServer as unknown as () => LibraryServer
 
-/** Serves the MySQL protocol for one instance. */
+/**
+ * Starts the MySQL server of one instance.
+ *
+ * @throws Error when the port is taken
+ */
 export async function startMysqlServer (settings: EndpointSettings, context: InstanceContext): Promise<MysqlServer> {
   const openConnections = new Set<ClientConnection>()
   const server = createLibraryServer()
@@ -108,6 +114,7 @@
   })
 }
 
+/** Authenticates a client or peer and enforces the connection limit; returns the error to send if it is refused. */
 function admitClient (client: ClientConnection, request: AuthRequest, settings: EndpointSettings, context: InstanceContext): { code: number, message: string } | undefined {
   client.isPeer = request.user.startsWith(PEER_USER_PREFIX)
   const nonce = Buffer.concat([request.authPluginData1, request.authPluginData2]).subarray(0, 20)
@@ -130,11 +137,12 @@
   client.session?.close().catch(() => {})
 }
 
-/** Before authentication nothing tells a caller from a peer, so only then does a cut take hold. */
+/** The cut of clients affects a connection only after authentication; before it, clients and peers cannot be told apart. */
 function isClientCut (client: ClientConnection, context: InstanceContext): boolean {
   return client.session !== null && !client.isPeer && context.injector.faults.cut.callers
 }
 
+/** Stops reading from the socket while the instance is frozen or its clients are cut. */
 function updateFlowControl (client: ClientConnection, context: InstanceContext): void {
   const { stream } = client.connection
   if (context.injector.faults.freeze || isClientCut(client, context)) stream.pause()
--- a/packages/standins/src/endpoint/record.ts
+++ b/packages/standins/src/endpoint/record.ts
@@ -4,29 +4,31 @@
 export interface StatementRecord {
   connection: number
   user: string
-  /** Milliseconds since 1970 at which the statement began to run. */
+  /** Unix time in milliseconds at which the statement began to run. */
   atMs: number
   term: number
   text: string
   outcome: 'running' | 'ok' | 'failed'
 }
 
-/** Everything an instance was asked, for tests that count statements or search for bytes. */
+/** Records the statements and bytes that an instance received, for tests that count statements or search for bytes. */
 export class InstanceRecord {
   readonly statements: StatementRecord[] = []
   refusedConnections = 0
+  /** Highest number of client connections at the same time. */
   maxConnections = 0
   #connections = 0
   #receivedBytes = 0
   readonly #receivedChunks = new Map<number, Buffer[]>()
 
+  /** Adds a statement, and drops the oldest one beyond `MAX_RECORDED_STATEMENTS`; the caller updates its outcome. */
   addStatement (statement: StatementRecord): StatementRecord {
     if (this.statements.length === MAX_RECORDED_STATEMENTS) this.statements.shift()
     this.statements.push(statement)
     return statement
   }
 
-  /** Keeps received bytes until the bound is reached. */
+  /** Keeps received bytes up to a total of `MAX_RECORDED_BYTES`. */
   addBytes (connection: number, chunk: Buffer): void {
     this.#receivedBytes += chunk.length
     if (this.#receivedBytes > MAX_RECORDED_BYTES) return
@@ -48,7 +50,7 @@
     return this.#connections
   }
 
-  /** Number of connections that received `text`, and whether all received bytes were kept. */
+  /** Counts the connections that received `text`; `complete` tells whether all received bytes were kept. */
   countBytes (text: string): { count: number, complete: boolean } {
     const wanted = Buffer.from(text, 'utf8')
     const count = [...this.#receivedChunks.values()].filter(chunks => Buffer.concat(chunks).includes(wanted)).length
--- a/packages/standins/src/endpoint/replication.ts
+++ b/packages/standins/src/endpoint/replication.ts
@@ -19,12 +19,12 @@
 }
 
 export interface Replication {
-  /** Follows the member's present primary, or none. */
+  /** Restarts replication from the member's current primary; stops it when the member is not a replica. */
   reset: () => void
   stop: () => void
 }
 
-/** Fetches the primary's log while the member is a replica. */
+/** Starts to fetch log entries from the primary; the caller calls `reset` at each change of role, term or primary. */
 export function startReplication (options: ReplicationOptions): Replication {
   let currentAbort: AbortController | null = null
   const reset = (): void => {
@@ -39,6 +39,7 @@
   return { reset, stop: () => currentAbort?.abort() }
 }
 
+/** Fetches entries from one primary and connects again after errors, until the signal aborts it. */
 async function followPrimary (options: ReplicationOptions, primary: PrimaryAddress, term: number, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
     try {
@@ -83,6 +84,7 @@
   return shipmentSchema.parse(JSON.parse(row!.status))
 }
 
+/** Hands a shipment to the member after the replication delay. */
 function scheduleShipment ({ member, injector }: ReplicationOptions, shipment: Shipment, signal: AbortSignal): void {
   const applyNow = (): void => {
     if (!signal.aborted) member.receiveShipment(shipment)
@@ -91,6 +93,7 @@
   else setTimeout(() => { injector.waitUntilUnfrozen().then(applyNow, () => {}) }, injector.faults.replicationDelayMs)
 }
 
+/** Waits while the local instance is frozen or its link to `peer` is cut. */
 async function waitUntilReachable (injector: FaultInjector, peer: string): Promise<void> {
   await injector.waitUntilUnfrozen()
   while (injector.isPeerCut(peer)) await wait(RETRY_DELAY_MS)
--- a/packages/standins/src/endpoint/result-set.ts
+++ b/packages/standins/src/endpoint/result-set.ts
@@ -3,7 +3,7 @@
 
 type EngineValue = bigint | number | string | Uint8Array | null
 
-/** Cells are the bytes of MySQL's text protocol, one character a byte. */
+/** Columns and rows of a query; cells hold the bytes of MySQL's text protocol as latin1 strings, one character per byte. */
 export interface ResultSet {
   columns: Column[]
   rows: Array<Array<string | null>>
@@ -30,7 +30,11 @@
   null: { columnType: 0x06, characterSet: BINARY_CHARSET, columnLength: 0, decimals: 0 }
 } satisfies Record<string, ColumnType>
 
-/** Steps through a prepared query; integers keep all of their 64 bits. */
+/**
+ * Runs a prepared query and converts its rows to MySQL's text protocol. Integers keep all of their 64 bits.
+ *
+ * @param text the query, from which the declared types of its columns are found
+ */
 export function buildResultSet (database: Database, statement: Statement, text: string): ResultSet {
   const values: EngineValue[][] = []
   while (statement.step()) values.push(readRow(statement))
@@ -42,7 +46,7 @@
   return { columns, rows }
 }
 
-/** One text column, as the group's own statements answer. */
+/** Creates a result with one row and one text column, such as the reply to a group statement. */
 export function createTextResult (name: string, value: string): ResultSet {
   return { columns: [createColumn(name, typesByValueKind.text)], rows: [[formatCell(value, typesByValueKind.text)]] }
 }
@@ -52,7 +56,7 @@
   return get.call(statement, null, { useBigInt: true })
 }
 
-/** Declared types by column name, when the query names a single table. */
+/** Reads the declared types by column name; empty unless the query names a single table. */
 function readDeclaredTypes (database: Database, text: string): Map<string, string> {
   const table = /\bFROM\s+[`"]?(\w+)[`"]?(?!\s*[,.(])/i.exec(text)?.[1]
   if (table === undefined || /\bJOIN\b/i.test(text)) return new Map()
@@ -81,7 +85,7 @@
   return /REAL|FLOA|DOUB/.test(declared) ? typesByValueKind.real : undefined
 }
 
-/** A column whose rows differ in type is sent as text, or as binary when any of them is. */
+/** A column whose rows differ in type is sent as binary if any value is binary, else as text if any is text, else as real. */
 function pickValueType (rows: readonly EngineValue[][], index: number, firstValue: EngineValue): ColumnType {
   if (firstValue === null) return typesByValueKind.null
   const kinds = new Set(rows.map(row => readValueKind(row[index]!)))
--- a/packages/standins/src/endpoint/semaphore.ts
+++ b/packages/standins/src/endpoint/semaphore.ts
@@ -1,14 +1,14 @@
 export type Release = () => void
 
-/** Admits a number of holders at once; the others queue in order, up to a bound. */
+/** Limits the number of concurrent holders; further ones wait in a FIFO queue of bounded length. */
 export interface Semaphore {
-  /** Resolves with a function that ends the hold, or with `null` when the queue is full or the time is up. */
+  /** Resolves with a function that releases the semaphore, or with `null` when the queue is full or after `timeoutMs`. */
   acquire: (timeoutMs: number) => Promise<Release | null>
-  /** The most holders there have been at once. */
+  /** Returns the highest number of concurrent holders so far. */
   countPeakHolders: () => number
 }
 
-/** @example const release = await createSemaphore(3, 200).acquire(1_000) */
+/** Creates a semaphore for `limit` holders and `maxQueued` waiters. @example const release = await createSemaphore(3, 200).acquire(1_000) */
 export function createSemaphore (limit: number, maxQueued: number): Semaphore {
   const queue: Array<(release: Release) => void> = []
   let holders = 0
--- a/packages/standins/src/endpoint/start-endpoint.ts
+++ b/packages/standins/src/endpoint/start-endpoint.ts
@@ -23,17 +23,18 @@
   record: InstanceRecord
   member: GroupMember
   applyFaults: (change: FaultChange) => void
-  /** The most statements that have held a slot at once. */
+  /** Returns the highest number of statements that held a slot at the same time. */
   countPeakSlots: () => number
-  /** Closes everything abruptly. */
+  /** Closes the ports and all connections at once, without waiting for statements. */
   stop: () => Promise<void>
 }
 
 /**
  * Starts one instance of a database group in this process.
  *
+ * @param onKill called on a request to kill the instance; the default stops it
  * @example const primary = await startEndpoint({ instance: 'db-1', initialPrimary: 'db-1' })
- * @throws ZodError for wrong options, Error when a port is taken
+ * @throws ZodError for invalid options, Error when a port is taken
  */
 export async function startEndpoint (options: EndpointOptions, onKill?: () => void): Promise<RunningEndpoint> {
   const settings = endpointSettingsSchema.parse(options)
--- a/packages/standins/src/endpoint/state-file.ts
+++ b/packages/standins/src/endpoint/state-file.ts
@@ -3,13 +3,13 @@
 import type { GroupState, LogEntry } from './group-rules.ts'
 
 /**
- * What an instance must not forget over a restart: the term that it has promised and its log.
+ * Stores the state that an instance must keep over a restart: the term that it has promised and its log.
  *
- * The file holds one JSON object a line, each a change; reading it applies them in order.
+ * Each line of the file is a change as a JSON object; reading the file applies the changes in order.
  */
 export interface StateFile {
   recordTerm: (state: GroupState) => void
-  /** Records that the log now goes on with `entries` after its first `keptIndex` ones. */
+  /** Records that the log now consists of its first `keptIndex` entries, followed by `entries`. */
   recordEntries: (keptIndex: number, entries: readonly LogEntry[]) => void
 }
 
@@ -26,9 +26,10 @@
 ])
 type StateChange = z.infer<typeof changeSchema>
 
-/** Records nothing: the instance forgets all when it ends. */
+/** Stores nothing: the instance loses its state when it ends. */
 export const nullStateFile: StateFile = { recordTerm: () => {}, recordEntries: () => {} }
 
+/** Opens a state file, to which each change is appended synchronously; the first change creates it. */
 export function openStateFile (path: string): StateFile {
   const write = (change: StateChange): void => { appendFileSync(path, `${JSON.stringify(change)}\n`) }
   return {
@@ -38,9 +39,9 @@
 }
 
 /**
- * Brings a new state to what the file holds; a file that does not exist changes nothing.
+ * Applies the changes in the file to a new state; does nothing if the file does not exist.
  *
- * @throws ZodError, SyntaxError for a file of another kind
+ * @throws ZodError, SyntaxError for a file that is not a state file
  */
 export function readStateFile (path: string, state: GroupState): void {
   if (!existsSync(path)) return
--- a/packages/standins/src/platform.ts
+++ b/packages/standins/src/platform.ts
@@ -5,10 +5,10 @@
 
 class PlatformCommand extends Command {
   static override usage = Command.Usage({
-    description: 'Runs a stand-in of the platform: object service, VM list and a control port for faults.'
+    description: 'Runs a stand-in of the platform: an object service, a VM list and a control port that switches faults.'
   })
 
-  settings = Option.String('--settings', { description: 'JSON settings file; defaults apply without it' })
+  settings = Option.String('--settings', { description: 'JSON settings file; without it, all settings have their defaults' })
 
   async execute (): Promise<void> {
     const settings = this.settings === undefined ? {} : readSettings(this.settings, platformSettingsSchema)
--- a/packages/standins/src/platform/call-meter.ts
+++ b/packages/standins/src/platform/call-meter.ts
@@ -4,9 +4,9 @@
 
 export interface CallReport {
   total: CallCounts
-  /** Calls in the last whole second. */
+  /** Calls in the last complete second. */
   lastSecond: CallCounts
-  /** Calls refused with 429. */
+  /** Number of calls refused with HTTP status 429. */
   refused: number
 }
 
@@ -21,7 +21,7 @@
   return { list: 0, read: 0, write: 0, delete: 0, watch: 0, vms: 0 }
 }
 
-/** Counts calls by type and refuses those over the rate of their second. */
+/** Counts calls by type, and refuses calls over the allowed number per second; each clock second is counted separately. */
 export class CallMeter {
   readonly #options: CallMeterOptions
   readonly #totalCounts = createCounts()
@@ -34,7 +34,7 @@
     this.#options = options
   }
 
-  /** Counts the call; false when it is over the rate. */
+  /** Counts the call and returns true, or returns false when it is over the rate of its second. */
   admitCall (type: CallType, nowMs: number): boolean {
     this.#advanceWindow(nowMs)
     const { write, delete: deletes, list, read, watch, vms } = this.#currentCounts
--- a/packages/standins/src/platform/control-routes.ts
+++ b/packages/standins/src/platform/control-routes.ts
@@ -9,9 +9,9 @@
 /**
  * Builds the control server of the stand-in.
  *
- * - `POST /faults` merges a part of the faults into those in force and answers them all
- * - `GET /counts` answers `CallReport` and the number of waiting watches
- * - `PUT /vms/:vm` with a `Vm`, `DELETE /vms/:vm` change the VM list after its lag
+ * - `POST /faults` merges the given faults into those in force and returns all faults
+ * - `GET /counts` returns a `CallReport` and the number of waiting watches
+ * - `PUT /vms/:vm` with a `Vm` and `DELETE /vms/:vm` change the VM list; the change shows after `vmLagMs`
  */
 export function createControlServer (state: PlatformState): FastifyInstance {
   const server = fastify({ forceCloseConnections: true })
@@ -35,7 +35,11 @@
   return server
 }
 
-/** Merges some faults into those in force. */
+/**
+ * Merges the given faults into those in force and returns all faults; an outage ends waiting watches.
+ *
+ * @throws ZodError for invalid faults
+ */
 export function setFaults (state: PlatformState, change: unknown): PlatformFaults {
   const merged = platformFaultsSchema.parse({ ...state.faults, ...change as object })
   Object.assign(state.faults, merged)
--- a/packages/standins/src/platform/object-routes.ts
+++ b/packages/standins/src/platform/object-routes.ts
@@ -19,7 +19,7 @@
 
 type Handler = (request: FastifyRequest, reply: FastifyReply) => Promise<unknown>
 
-/** Builds the HTTP server of the object service's protocol, see `@camphorpitch/wire` platform/api. */
+/** Builds the HTTP server of the object service; `@camphorpitch/wire` platform/api describes its protocol. */
 export function createObjectServer (state: PlatformState): FastifyInstance {
   const server = fastify({ bodyLimit: MAX_OBJECT_BYTES, forceCloseConnections: true })
   server.setErrorHandler(async (error, _request, reply) => await sendError(reply, error))
@@ -41,7 +41,7 @@
   return server
 }
 
-/** Wraps a call in the stand-in's rates and faults. */
+/** Wraps a handler so that each call is subject to the rate limits and the faults in force. */
 function applyFaults (state: PlatformState, type: CallType, handler: Handler): Handler {
   return async (request, reply) => {
     if (!state.meter.admitCall(type, state.clock.readNow())) return await reply.code(429).send({ error: 'over the rate' })
--- a/packages/standins/src/platform/object-store.ts
+++ b/packages/standins/src/platform/object-store.ts
@@ -5,12 +5,12 @@
   resolve: () => void
 }
 
-/** The version in `If-Match` is not the object's. */
+/** Result of a write whose expected version is not the object's version. */
 export const versionConflict = Symbol('version conflict')
 
-/** Versioned objects in memory, with a bounded log of changes for watches. */
+/** Stores versioned objects in memory, with a bounded history of changes for watches. */
 export class ObjectStore {
-  /** Deleted objects stay with value `null`, so that versions of a name never go back. */
+  /** Deleted objects stay with the value `null`, so that the versions of a name never decrease. */
   readonly #objects = new Map<string, StoredObject>()
   readonly #waiters = new Set<Waiter>()
   readonly #historyLength: number
@@ -39,7 +39,11 @@
     return object?.value === null ? undefined : object
   }
 
-  /** Writes if the object has `version`; 0 where there is none. A `null` value deletes. */
+  /**
+   * Replaces an object if it has `version`; 0 if there must be none. The value `null` deletes it.
+   *
+   * @returns the object with its new version, or `versionConflict`
+   */
   replaceObject (kind: string, name: string, version: number, value: unknown): StoredObject | typeof versionConflict {
     const current = this.#objects.get(formatKey(kind, name))
     const currentVersion = current === undefined || current.value === null ? 0 : current.version
@@ -51,14 +55,18 @@
     return object
   }
 
-  /** Changes after `since`, the last of each object; `undefined` when the log no longer reaches back. */
+  /**
+   * Lists the latest change of each object that changed after the revision `since`.
+   *
+   * @returns `undefined` when the history does not reach back to `since`, or `since` is in the future
+   */
   listChanges (kinds: ReadonlySet<string>, since: number): StoredObject[] | undefined {
     if (since < this.#lastDroppedRevision || since > this.#revision) return undefined
     const changes = this.#history.filter(o => o.revision > since && kinds.has(o.kind))
     return changes.filter(o => this.#objects.get(formatKey(o.kind, o.name)) === o)
   }
 
-  /** Resolves at the next change of one of the kinds, or after `waitMs`. */
+  /** Resolves at the next change of an object of one of the kinds, or after `waitMs`. */
   async waitForChange (kinds: ReadonlySet<string>, waitMs: number): Promise<void> {
     await new Promise<void>(resolve => {
       const finish = () => {
@@ -72,7 +80,7 @@
     })
   }
 
-  /** Ends every wait, as an outage does. */
+  /** Resolves every pending `waitForChange` at once, for an outage or the shutdown. */
   cancelWaits (): void {
     for (const w of [...this.#waiters]) w.resolve()
   }
--- a/packages/standins/src/platform/platform-state.ts
+++ b/packages/standins/src/platform/platform-state.ts
@@ -4,13 +4,13 @@
 import type { PlatformFaults } from './settings.ts'
 import type { VmRegistry } from './vm-registry.ts'
 
-/** What the object and the control server share. */
+/** State that the object server and the control server share. */
 export interface PlatformState {
   clock: Clock
   store: ObjectStore
   meter: CallMeter
   vms: VmRegistry
   faults: PlatformFaults
-  /** Decides on each write, and counts down `faults.loseAnswers`. */
+  /** Decides for a write whether its response is lost; counts down `faults.loseAnswers`. */
   decideResponseLoss: () => boolean
 }
--- a/packages/standins/src/platform/platform.test.ts
+++ b/packages/standins/src/platform/platform.test.ts
@@ -19,7 +19,7 @@
 
   afterEach(async () => { await platform.close() })
 
-  it('writes conditionally, and versions of a name go on after a deletion', async () => {
+  it('writes only at the expected version, and continues the versions of a name after a deletion', async () => {
     const first = await client.writeObject('limit-owners', 'owners', 0, owners)
     expect(await readError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(ConflictError)
     await client.deleteObject('limit-owners', 'owners', first.version)
@@ -29,7 +29,7 @@
     expect(await client.listObjects('limit-owners')).deep.equal({ revision: 3, objects: [recreated] })
   })
 
-  it('ends a waiting watch at a change, and answers 410 once the log is too short', async () => {
+  it('ends a waiting watch at a change, and refuses a watch from a revision that the history no longer contains', async () => {
     const waiting = client.watchObjects(['limit-owners'], 0, 10_000)
     while (platform.store.waiterCount === 0) await new Promise(resolve => setImmediate(resolve))
     let { version } = await client.writeObject('limit-owners', 'owners', 0, owners)
@@ -38,13 +38,13 @@
     expect(await readError(client.watchObjects(['limit-owners'], 0, 0))).instanceOf(ExpiredRevisionError)
   })
 
-  it('loses the answer of a write that took effect', async () => {
+  it('loses the response to a write that took effect', async () => {
     platform.setFaults({ loseAnswers: 1 })
     expect(await readError(client.writeObject('limit-owners', 'owners', 0, owners))).instanceOf(UnknownOutcomeError)
     expect((await client.findObject('limit-owners', 'owners'))?.version).equal(1)
   })
 
-  it('refuses everything in an outage, waiting watches included', async () => {
+  it('refuses all calls in an outage, including waiting watches', async () => {
     const waiting = readError(client.watchObjects(['contract'], 0, 10_000))
     while (platform.store.waiterCount === 0) await new Promise(resolve => setImmediate(resolve))
     platform.setFaults({ outage: true })
@@ -53,7 +53,7 @@
     expect(platform.store.revision).equal(0)
   })
 
-  it('counts calls and shows VMs after their lag', async () => {
+  it('counts calls, and lists a new VM only after the configured delay', async () => {
     const vm = { host: '127.0.0.1', peerPort: 7000, failureDomain: 'fd-1', region: 'north', state: 'live' }
     const put = async (lag: number, name: string) => {
       await fetch(`${platform.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ vmLagMs: lag }) })
@@ -65,7 +65,7 @@
     expect(platform.readCounts().total.vms).equal(1)
   })
 
-  it('refuses calls over the rate of a second', async () => {
+  it('refuses calls over the allowed number per second', async () => {
     const small = await startPlatform({ readsPerSecond: 1 })
     const reads = Array.from({ length: 6 }, async () => (await fetch(`${small.url}/v1/vms`)).status)
     expect(await Promise.all(reads)).include(429)
--- a/packages/standins/src/platform/start-platform.ts
+++ b/packages/standins/src/platform/start-platform.ts
@@ -20,14 +20,14 @@
   port: number
   controlPort: number
   store: ObjectStore
-  /** Merges some faults into those in force. */
+  /** Merges the given faults into those in force. */
   setFaults: (faults: Partial<PlatformFaults>) => void
   readCounts: () => CallReport
   close: () => Promise<void>
 }
 
 /**
- * Starts the object service, its VM list and its control port in this process.
+ * Starts the object service, the VM list and the control port in this process.
  *
  * @throws ZodError when the options don't match `platformSettingsSchema`
  * @example
--- a/packages/standins/src/platform/vm-registry.ts
+++ b/packages/standins/src/platform/vm-registry.ts
@@ -6,12 +6,12 @@
   vm: Vm | null
 }
 
-/** The list of live and leaving VMs; a change shows only after its lag. */
+/** The list of live and leaving VMs; a change becomes visible only at `visibleAtMs`. */
 export class VmRegistry {
   readonly #vms = new Map<string, Vm>()
   #changes: VmChange[] = []
 
-  /** Records a VM's state, or with `null` that it is gone. */
+  /** Records the state of a VM; `null` removes it from the list. */
   recordVm (name: string, vm: Vm | null, visibleAtMs: number): void {
     this.#changes.push({ visibleAtMs, name, vm })
   }
