--- a/scripts/build.js
+++ b/scripts/build.js
@@ -36,5 +36,5 @@
 
 const names = readdirSync(packagesDir)
 const manifests = names.map(readManifest)
-const externals = listExternals(manifests)
-await Promise.all(names.map((name, i) => buildPackage(name, manifests[i], externals)))
+const externalPackages = listExternals(manifests)
+await Promise.all(names.map((name, i) => buildPackage(name, manifests[i], externalPackages)))
--- a/scripts/check-verbs.js
+++ b/scripts/check-verbs.js
@@ -4,8 +4,8 @@
 
 /** Reads the verbs of docs/VERBS.md: the words of its first column. */
 function readVerbs () {
-  const rows = readFileSync('docs/VERBS.md', 'utf8').split('\n').filter(l => l.startsWith('| ') && !l.startsWith('| verb') && !l.startsWith('| ---'))
-  return new Set(rows.flatMap(r => r.split('|')[1].split(',').map(v => v.trim())))
+  const tableRows = readFileSync('docs/VERBS.md', 'utf8').split('\n').filter(l => l.startsWith('| ') && !l.startsWith('| verb') && !l.startsWith('| ---'))
+  return new Set(tableRows.flatMap(r => r.split('|')[1].split(',').map(v => v.trim())))
 }
 
 function isFunctionName (node) {
@@ -16,21 +16,21 @@
 
 function listBadNames (file, verbs) {
   const source = ts.createSourceFile(file, readFileSync(file, 'utf8'), ts.ScriptTarget.Latest, true)
-  const found = []
+  const badNames = []
   const visit = node => {
     if (isFunctionName(node) && (ts.isIdentifier(node.name) || ts.isPrivateIdentifier(node.name))) {
       const name = node.name.text.replace(/^[#_]/, '')
       const verb = /^[a-z]+/.exec(name)?.[0] ?? ''
       const line = source.getLineAndCharacterOfPosition(node.getStart()).line + 1
-      if (!verbs.has(verb)) found.push(`${file}:${line}: ${name}`)
+      if (!verbs.has(verb)) badNames.push(`${file}:${line}: ${name}`)
     }
     ts.forEachChild(node, visit)
   }
   visit(source)
-  return found
+  return badNames
 }
 
 const verbs = readVerbs()
-const bad = globSync(['packages/*/src/**/*.ts', 'platform/src/**/*.ts'], { ignore: '**/*.test.ts' }).sort().flatMap(f => listBadNames(f, verbs))
-for (const b of bad) console.log(`${b}: begins with no verb of docs/VERBS.md`)
-process.exit(bad.length > 0 ? 1 : 0)
+const misnamed = globSync(['packages/*/src/**/*.ts', 'platform/src/**/*.ts'], { ignore: '**/*.test.ts' }).sort().flatMap(f => listBadNames(f, verbs))
+for (const name of misnamed) console.log(`${name}: begins with no verb of docs/VERBS.md`)
+process.exit(misnamed.length > 0 ? 1 : 0)
--- a/scripts/test.js
+++ b/scripts/test.js
@@ -13,8 +13,8 @@
 }
 
 function listTestFiles (patterns) {
-  const wanted = patterns.length > 0 ? patterns : ['packages/*/src/**/*.test.ts', 'platform/src/**/*.test.ts']
-  return globSync(wanted).sort()
+  const selectedPatterns = patterns.length > 0 ? patterns : ['packages/*/src/**/*.test.ts', 'platform/src/**/*.test.ts']
+  return globSync(selectedPatterns).sort()
 }
 
 function printKnownRed (knownRed, failed, passed) {
@@ -32,13 +32,13 @@
 await mocha.loadFilesAsync()
 
 mocha.run(() => {
-  const unexpected = [...failed].filter(t => !knownRed.has(t))
+  const unexpectedFailures = [...failed].filter(t => !knownRed.has(t))
   printKnownRed(knownRed, failed, passed)
-  for (const title of unexpected) console.log(`failed: ${title}`)
-  const redSeen = failed.size - unexpected.length
-  console.log(`known red: ${redSeen}`)
-  console.log(`${passed.size} passed, ${unexpected.length} failed`)
-  process.exit(unexpected.length > 0 || passed.size === 0 ? 1 : 0)
+  for (const title of unexpectedFailures) console.log(`failed: ${title}`)
+  const knownRedCount = failed.size - unexpectedFailures.length
+  console.log(`known red: ${knownRedCount}`)
+  console.log(`${passed.size} passed, ${unexpectedFailures.length} failed`)
+  process.exit(unexpectedFailures.length > 0 || passed.size === 0 ? 1 : 0)
 })
   .on('pass', test => passed.add(test.fullTitle()))
   .on('fail', test => failed.add(test.fullTitle()))
