--- a/scripts/build-target.js
+++ b/scripts/build-target.js
@@ -2,10 +2,10 @@
 import { copyFileSync, rmSync } from 'node:fs'
 import { build } from 'esbuild'
 
-/** Flags of the runtime in deploy/system.toml: compiled code is only taken under the flags it was made with. */
+/** Flags of the runtime in deploy/system.toml. The runtime accepts compiled code only under the flags it was compiled with. */
 const RUNTIME_FLAGS = ['--max-old-space-size=200']
 
-// One file, so that a start reads and compiles no more than it needs.
+// A single bundle, so that the start reads and compiles only the code that is needed.
 await build({
   entryPoints: ['platform/src/main.ts'],
   outfile: 'target/gateway.bundle.cjs',
@@ -19,4 +19,5 @@
 })
 copyFileSync('scripts/start-bundle.cjs', 'target/gateway.cjs')
 rmSync('target/gateway.cache', { force: true })
+// Starts the bundle once to write its compiled code.
 execFileSync('node', [...RUNTIME_FLAGS, 'target/gateway.cjs', '--version'], { env: { ...process.env, WRITE_CODE_CACHE: '1' } })
--- a/scripts/build.js
+++ b/scripts/build.js
@@ -1,3 +1,4 @@
+// Bundles the entry points that each package.json lists under camphorpitch.entries into packages/NAME/dist.
 import { readdirSync, readFileSync, chmodSync } from 'node:fs'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
@@ -10,6 +11,7 @@
   return JSON.parse(readFileSync(join(packagesDir, name, 'package.json'), 'utf8'))
 }
 
+/** Lists the third-party packages, which the bundles import at run time. */
 function listExternals (manifests) {
   const names = manifests.flatMap(m => Object.keys(m.dependencies ?? {}))
   return [...new Set(names)].filter(n => !n.startsWith('@camphorpitch/'))
--- a/scripts/check-verbs.js
+++ b/scripts/check-verbs.js
@@ -1,13 +1,15 @@
+// Checks that the name of each function begins with a verb listed in docs/VERBS.md; prints the others and exits with 1.
 import { readFileSync } from 'node:fs'
 import { globSync } from 'glob'
 import ts from 'typescript'
 
-/** Reads the verbs of docs/VERBS.md: the words of its first column. */
+/** Reads the verbs of docs/VERBS.md: the comma-separated words in the first column of its table. */
 function readVerbs () {
   const tableRows = readFileSync('docs/VERBS.md', 'utf8').split('\n').filter(l => l.startsWith('| ') && !l.startsWith('| verb') && !l.startsWith('| ---'))
   return new Set(tableRows.flatMap(r => r.split('|')[1].split(',').map(v => v.trim())))
 }
 
+/** Whether a node declares a named function, method or arrow function. */
 function isFunctionName (node) {
   if (node.name === undefined) return false
   if (ts.isFunctionDeclaration(node) || ts.isMethodDeclaration(node) || ts.isMethodSignature(node)) return true
@@ -32,5 +34,5 @@
 
 const verbs = readVerbs()
 const misnamed = globSync(['packages/*/src/**/*.ts', 'platform/src/**/*.ts'], { ignore: '**/*.test.ts' }).sort().flatMap(f => listBadNames(f, verbs))
-for (const name of misnamed) console.log(`${name}: begins with no verb of docs/VERBS.md`)
+for (const name of misnamed) console.log(`${name}: does not begin with a verb listed in docs/VERBS.md`)
 process.exit(misnamed.length > 0 ? 1 : 0)
--- a/scripts/generate-schema.js
+++ b/scripts/generate-schema.js
@@ -1,3 +1,4 @@
+// Writes the published JSON Schema of contracts.
 import { writeFileSync } from 'node:fs'
 import { createDocumentSchema } from '../packages/ctl/src/index.ts'
 
--- a/scripts/start-bundle.cjs
+++ b/scripts/start-bundle.cjs
@@ -1,4 +1,4 @@
-// Runs the bundle next to this file with its compiled code, which saves more than half of the start.
+// Runs the bundle next to this file with its cached compiled code, which saves more than half of the start time.
 const fs = require('node:fs')
 const { wrap } = require('node:module')
 const { join } = require('node:path')
@@ -9,6 +9,6 @@
 const cachedData = fs.existsSync(cacheFile) ? fs.readFileSync(cacheFile) : undefined
 const script = new vm.Script(wrap(fs.readFileSync(bundle, 'utf8')), { filename: bundle, cachedData })
 if (process.env.WRITE_CODE_CACHE === '1') process.on('exit', () => fs.writeFileSync(cacheFile, script.createCachedData()))
-// Another version or other flags of the runtime reject the compiled code; the source is compiled then.
-if (script.cachedDataRejected === true) process.stderr.write('compiled code rejected, starting from source\n')
+// A runtime of another version or with other flags rejects the compiled code, and the source is compiled instead.
+if (script.cachedDataRejected === true) process.stderr.write('cached compiled code rejected, compiling from source\n')
 script.runInThisContext()(exports, require, module, bundle, __dirname)
--- a/scripts/test.js
+++ b/scripts/test.js
@@ -1,3 +1,5 @@
+// Runs the tests in the files that match the given patterns, by default all tests. Exits with 1 if a test fails that
+// KNOWN-RED.txt does not list, or if no test passes.
 import { existsSync, readFileSync } from 'node:fs'
 import { globSync } from 'glob'
 import Mocha from 'mocha'
@@ -5,7 +7,7 @@
 const TEST_TIMEOUT_MS = 60_000
 const knownRedFile = 'KNOWN-RED.txt'
 
-/** Full titles of tests that may fail: the lines of KNOWN-RED.txt that begin with `test: `. */
+/** Reads the full titles of tests that may fail: the lines of KNOWN-RED.txt that begin with `test: `. */
 function readKnownRed () {
   if (!existsSync(knownRedFile)) return new Set()
   const lines = readFileSync(knownRedFile, 'utf8').split('\n')
@@ -17,6 +19,7 @@
   return globSync(selectedPatterns).sort()
 }
 
+/** Prints which of the tests that may fail did fail, and which pass now. */
 function printKnownRed (knownRed, failed, passed) {
   for (const title of knownRed) {
     if (failed.has(title)) console.log(`known red: ${title}`)
