--- a/packages/standins/src/endpoint/dialect.ts
+++ b/packages/standins/src/endpoint/dialect.ts
@@ -1,4 +1,4 @@
-/** The little of MySQL's dialect that differs from the embedded engine's. */
+/** Converts the parts of MySQL's dialect that the embedded engine (SQLite) does not understand. */
 
 export type StatementKind = 'read' | 'locking-read' | 'write' | 'begin' | 'commit' | 'rollback' | 'set' | 'group'
 
@@ -10,23 +10,23 @@
   return /^[A-Za-z]+/.exec(text.replace(LEADING_COMMENTS, ''))?.[0].toUpperCase() ?? ''
 }
 
-const kindsByWord: Record<string, StatementKind> = {
+const statementKindsByFirstWord: Record<string, StatementKind> = {
   SELECT: 'read', VALUES: 'read', EXPLAIN: 'read', BEGIN: 'begin', START: 'begin', COMMIT: 'commit', ROLLBACK: 'rollback', SET: 'set', GROUP: 'group'
 }
 
-/** @example readStatementKind('START TRANSACTION') // 'begin' */
+/** Determines the kind of a statement from its text. @example readStatementKind('START TRANSACTION') // 'begin' */
 export function readStatementKind (text: string): StatementKind {
   const word = readFirstWord(text)
   if (word === 'SELECT' && FOR_UPDATE.test(text)) return 'locking-read'
   if (word === 'WITH') return /\b(INSERT|UPDATE|DELETE|REPLACE)\b/i.test(text) ? 'write' : 'read'
   if (word === 'SHOW' && /^SHOW\s+GROUP\s+STATUS/i.test(text.trim())) return 'group'
-  return kindsByWord[word] ?? 'write'
+  return statementKindsByFirstWord[word] ?? 'write'
 }
 
-/** Converts quoted strings with backslash escapes, and locking reads, to what the engine understands. */
+/** Converts a MySQL statement for the engine: rewrites strings with backslash escapes and removes `FOR UPDATE`. */
 export function convertToEngine (text: string): string {
-  const plain = text.replace(FOR_UPDATE, '')
-  return plain.replace(/'(?:[^'\\]|\\[\s\S]|'')*'|"(?:[^"\\]|\\[\s\S]|"")*"|`[^`]*`|--[^\n]*|\/\*[\s\S]*?\*\//g, token => {
+  const withoutLock = text.replace(FOR_UPDATE, '')
+  return withoutLock.replace(/'(?:[^'\\]|\\[\s\S]|'')*'|"(?:[^"\\]|\\[\s\S]|"")*"|`[^`]*`|--[^\n]*|\/\*[\s\S]*?\*\//g, token => {
     if (token[0] === "'" || token[0] === '"') return convertString(token)
     return token
   })
--- a/packages/standins/src/endpoint/group-member.ts
+++ b/packages/standins/src/endpoint/group-member.ts
@@ -1,46 +1,49 @@
 import type { InstanceStatus, LogPosition, WaitResult } from '@camphorpitch/wire'
 import type { Engine } from './engine.ts'
-import type { FaultGate } from './fault-gate.ts'
-import { noStateFile, type StateFile } from './state-file.ts'
+import type { FaultInjector } from './fault-gate.ts'
+import { nullStateFile, type StateFile } from './state-file.ts'
 import {
-  addEntry, applyShipment, createShipment, describeStatus, fence, follow, isHolding, promote, readPosition,
+  addEntry, applyShipment, createShipment, describeStatus, fence, follow, hasEntryInCurrentTerm, promote, readPosition,
   type GroupState, type LogRequest, type PrimaryAddress, type Shipment
 } from './group-rules.ts'
 
-const MAX_SHIPPED_ENTRIES = 500
+const MAX_SHIPMENT_ENTRIES = 500
 
 interface Waiter {
-  /** Resolves the waiter's promise and returns true once its wait is over. */
-  checkOver: (expired: boolean) => boolean
+  /** Resolves the waiter's promise and returns true if its condition holds or `expired` is true. */
+  finishIfReady: (expired: boolean) => boolean
 }
 
 export interface GroupMemberOptions {
   state: GroupState
   engine: Engine
-  gate: FaultGate
+  injector: FaultInjector
   stateFile?: StateFile
   /** Called after the term, the role or the primary has changed. */
   handleRoleChange: () => void
 }
 
-/** Hosts the group rules of one instance: keeps the engine at the applied position and wakes who waits. */
+/**
+ * Runs the group rules of one instance: stores each change of its state in the state file, applies log entries to the
+ * engine and resolves the promises of those who wait for a position.
+ */
 export class GroupMember {
   readonly state: GroupState
   readonly #engine: Engine
-  readonly #gate: FaultGate
+  readonly #injector: FaultInjector
   readonly #handleRoleChange: () => void
   readonly #stateFile: StateFile
   readonly #waiters = new Set<Waiter>()
-  #primaryHeardAtMs = performance.now()
+  #lastPrimaryResponseAtMs = performance.now()
   #stopped = false
 
-  constructor ({ state, engine, gate, stateFile = noStateFile, handleRoleChange }: GroupMemberOptions) {
+  constructor ({ state, engine, injector, stateFile = nullStateFile, handleRoleChange }: GroupMemberOptions) {
     this.state = state
     this.#stateFile = stateFile
     this.#engine = engine
-    this.#gate = gate
+    this.#injector = injector
     this.#handleRoleChange = handleRoleChange
-    gate.subscribe(() => { this.#scheduleApply() })
+    injector.subscribe(() => { this.#scheduleApply() })
     this.#applyUpTo(state.log.length)
   }
 
@@ -51,9 +54,10 @@
   readStatus (): InstanceStatus {
     const status = describeStatus(this.state)
     if (status.role !== 'replica') return status
-    return { ...status, primaryHeardMs: Math.round(performance.now() - this.#primaryHeardAtMs) }
+    return { ...status, primaryHeardMs: Math.round(performance.now() - this.#lastPrimaryResponseAtMs) }
   }
 
+  /** Grants a term to a promoter, see `fence` of the group rules; false when it is refused. */
   fence (term: number, promoter: string): boolean {
     const before = this.state.term
     if (!fence(this.state, term, promoter)) return false
@@ -61,6 +65,7 @@
     return true
   }
 
+  /** Makes the instance primary, see `promote` of the group rules; false when it is refused. */
   promote (term: number, promoter: string, address: PrimaryAddress): boolean {
     const wasPrimary = this.isPrimary()
     if (!promote(this.state, term, promoter, address)) return false
@@ -71,17 +76,18 @@
     return true
   }
 
+  /** Makes the instance a replica of `primary`, see `follow` of the group rules; false when it is refused. */
   follow (term: number, primary: PrimaryAddress): boolean {
     const { term: before, role } = this.state
     if (!follow(this.state, term, primary)) return false
     if (before !== term || role !== 'replica') {
-      this.#primaryHeardAtMs = performance.now()
+      this.#lastPrimaryResponseAtMs = performance.now()
       this.#updateRole()
     }
     return true
   }
 
-  /** Adds a transaction that the engine has just committed, at the primary. */
+  /** Appends a transaction that the engine has just committed to the log of this primary, and returns its position. */
   addTransaction (statements: string[]): LogPosition {
     const position = addEntry(this.state, statements)
     this.#stateFile.recordEntries(position.index - 1, this.state.log.slice(position.index - 1))
@@ -91,35 +97,44 @@
     return position
   }
 
-  recordPrimaryHeard (): void {
-    this.#primaryHeardAtMs = performance.now()
+  /** Records that the primary has just responded; the time since then is part of the status. */
+  recordPrimaryResponse (): void {
+    this.#lastPrimaryResponseAtMs = performance.now()
   }
 
+  /** Merges entries from the primary into the log and schedules their application; false when they are refused. */
   receiveShipment (shipment: Shipment): boolean {
-    const before = this.state.appliedIndex
+    const appliedIndexBefore = this.state.appliedIndex
     const outcome = applyShipment(this.state, shipment)
     if (!outcome.accepted) return false
-    const added = this.state.log.slice(outcome.keptIndex)
-    if (added.length > 0) this.#stateFile.recordEntries(outcome.keptIndex, added)
-    if (this.state.appliedIndex < before) {
-      this.#engine.reset(this.state.log.slice(0, this.state.appliedIndex).map(e => e.statements))
+    const addedEntries = this.state.log.slice(outcome.keptIndex)
+    if (addedEntries.length > 0) this.#stateFile.recordEntries(outcome.keptIndex, addedEntries)
+    if (this.state.appliedIndex < appliedIndexBefore) {
+      this.#engine.restore(this.state.log.slice(0, this.state.appliedIndex).map(e => e.statements))
     }
     this.#scheduleApply()
     this.#checkWaiters()
     return true
   }
 
-  /** Waits until the log holds `position` in its term, or until that cannot be any more. */
-  waitHolding (position: LogPosition, timeoutMs: number): Promise<WaitResult> {
+  /**
+   * Waits until the log holds `position` in its term, or until a newer term makes that impossible, for at most
+   * `timeoutMs`. `reached` in the result tells whether the log holds it.
+   */
+  waitForPosition (position: LogPosition, timeoutMs: number): Promise<WaitResult> {
     const read = (): WaitResult => ({
-      reached: isHolding(this.state, position), term: this.state.term, logged: readPosition(this.state.log, this.state.log.length)
+      reached: hasEntryInCurrentTerm(this.state, position), term: this.state.term, logged: readPosition(this.state.log, this.state.log.length)
     })
     return this.#wait(() => read().reached || this.state.term > position.term, read, timeoutMs)
   }
 
-  /** Answers a replica as soon as there are entries that it lacks; `null` when this is not its primary. */
-  waitShipment (request: LogRequest, waitMs: number): Promise<Shipment | null> {
-    const read = (): Shipment | null => createShipment(this.state, request, MAX_SHIPPED_ENTRIES)
+  /**
+   * Waits up to `waitMs` for entries that the requesting replica lacks, or until its log has to be cut back.
+   *
+   * @returns `null` when this instance is not the primary of the request's term; without entries after `waitMs`
+   */
+  waitForShipment (request: LogRequest, waitMs: number): Promise<Shipment | null> {
+    const read = (): Shipment | null => createShipment(this.state, request, MAX_SHIPMENT_ENTRIES)
     const isReady = (): boolean => {
       const shipment = read()
       return shipment === null || shipment.entries.length > 0 || shipment.previous.index < request.length
@@ -127,9 +142,10 @@
     return this.#wait(isReady, read, waitMs)
   }
 
+  /** Resolves all waits and applies no more entries. */
   stop (): void {
     this.#stopped = true
-    for (const w of this.#waiters) w.checkOver(true)
+    for (const w of this.#waiters) w.finishIfReady(true)
     this.#waiters.clear()
   }
 
@@ -141,7 +157,7 @@
         resolve(read())
       }, timeoutMs)
       const waiter: Waiter = {
-        checkOver: expired => {
+        finishIfReady: expired => {
           if (!expired && !isReady()) return false
           clearTimeout(timer)
           resolve(read())
@@ -154,7 +170,7 @@
 
   #checkWaiters (): void {
     for (const w of this.#waiters) {
-      if (w.checkOver(false)) this.#waiters.delete(w)
+      if (w.finishIfReady(false)) this.#waiters.delete(w)
     }
   }
 
@@ -164,17 +180,21 @@
     this.#checkWaiters()
   }
 
+  /**
+   * Applies the entries that the log has now after the configured delay. Skips them when the instance is frozen by
+   * then, or when other entries have replaced them; the next shipment or change of faults schedules the application again.
+   */
   #scheduleApply (): void {
     const { log, appliedIndex } = this.state
     if (appliedIndex === log.length || this.#stopped) return
-    const target = log.length
-    const last = log.at(-1)
-    const run = (): void => {
-      if (this.#stopped || this.#gate.faults.freeze) return
-      if (this.state.log[target - 1] === last) this.#applyUpTo(target)
+    const targetIndex = log.length
+    const lastEntry = log.at(-1)
+    const applyIfCurrent = (): void => {
+      if (this.#stopped || this.#injector.faults.freeze) return
+      if (this.state.log[targetIndex - 1] === lastEntry) this.#applyUpTo(targetIndex)
     }
-    if (this.#gate.faults.applyDelayMs === 0) run()
-    else setTimeout(run, this.#gate.faults.applyDelayMs)
+    if (this.#injector.faults.applyDelayMs === 0) applyIfCurrent()
+    else setTimeout(applyIfCurrent, this.#injector.faults.applyDelayMs)
   }
 
   #applyUpTo (index: number): void {
--- a/packages/standins/src/platform/control-routes.ts
+++ b/packages/standins/src/platform/control-routes.ts
@@ -9,9 +9,9 @@
 /**
  * Builds the control server of the stand-in.
  *
- * - `POST /faults` merges a part of the faults into those in force and answers them all
- * - `GET /counts` answers `CallReport` and the number of waiting watches
- * - `PUT /vms/:vm` with a `Vm`, `DELETE /vms/:vm` change the VM list after its lag
+ * - `POST /faults` merges the given faults into those in force and returns all faults
+ * - `GET /counts` returns a `CallReport` and the number of waiting watches
+ * - `PUT /vms/:vm` with a `Vm` and `DELETE /vms/:vm` change the VM list; the change shows after `vmLagMs`
  */
 export function createControlServer (state: PlatformState): FastifyInstance {
   const server = fastify({ forceCloseConnections: true })
@@ -20,7 +20,7 @@
     return await reply.code(code).send({ error: error instanceof z.ZodError ? z.prettifyError(error) : String(error) })
   })
   server.post('/faults', async request => setFaults(state, request.body))
-  server.get('/counts', async () => ({ ...state.meter.readReport(state.clock.readNow()), waitingWatches: state.store.waiting }))
+  server.get('/counts', async () => ({ ...state.meter.readReport(state.clock.readNow()), waitingWatches: state.store.waiterCount }))
   server.put('/vms/:vm', async request => {
     const { vm: name } = vmParamsSchema.parse(request.params)
     const vm = vmSchema.parse({ ...request.body as object, vm: name })
@@ -35,9 +35,13 @@
   return server
 }
 
-/** Merges some faults into those in force. */
-export function setFaults (state: PlatformState, part: unknown): PlatformFaults {
-  const merged = platformFaultsSchema.parse({ ...state.faults, ...part as object })
+/**
+ * Merges the given faults into those in force and returns all faults; an outage ends waiting watches.
+ *
+ * @throws ZodError for invalid faults
+ */
+export function setFaults (state: PlatformState, change: unknown): PlatformFaults {
+  const merged = platformFaultsSchema.parse({ ...state.faults, ...change as object })
   Object.assign(state.faults, merged)
   if (merged.outage) state.store.cancelWaits()
   return state.faults
--- a/scripts/test.js
+++ b/scripts/test.js
@@ -1,3 +1,5 @@
+// Runs the tests in the files that match the given patterns, by default all tests. Exits with 1 if a test fails that
+// KNOWN-RED.txt does not list, or if no test passes.
 import { existsSync, readFileSync } from 'node:fs'
 import { globSync } from 'glob'
 import Mocha from 'mocha'
@@ -5,7 +7,7 @@
 const TEST_TIMEOUT_MS = 60_000
 const knownRedFile = 'KNOWN-RED.txt'
 
-/** Full titles of tests that may fail: the lines of KNOWN-RED.txt that begin with `test: `. */
+/** Reads the full titles of tests that may fail: the lines of KNOWN-RED.txt that begin with `test: `. */
 function readKnownRed () {
   if (!existsSync(knownRedFile)) return new Set()
   const lines = readFileSync(knownRedFile, 'utf8').split('\n')
@@ -13,10 +15,11 @@
 }
 
 function listTestFiles (patterns) {
-  const wanted = patterns.length > 0 ? patterns : ['packages/*/src/**/*.test.ts', 'platform/src/**/*.test.ts']
-  return globSync(wanted).sort()
+  const selectedPatterns = patterns.length > 0 ? patterns : ['packages/*/src/**/*.test.ts', 'platform/src/**/*.test.ts']
+  return globSync(selectedPatterns).sort()
 }
 
+/** Prints which of the tests that may fail did fail, and which pass now. */
 function printKnownRed (knownRed, failed, passed) {
   for (const title of knownRed) {
     if (failed.has(title)) console.log(`known red: ${title}`)
@@ -32,13 +35,13 @@
 await mocha.loadFilesAsync()
 
 mocha.run(() => {
-  const unexpected = [...failed].filter(t => !knownRed.has(t))
+  const unexpectedFailures = [...failed].filter(t => !knownRed.has(t))
   printKnownRed(knownRed, failed, passed)
-  for (const title of unexpected) console.log(`failed: ${title}`)
-  const redSeen = failed.size - unexpected.length
-  console.log(`known red: ${redSeen}`)
-  console.log(`${passed.size} passed, ${unexpected.length} failed`)
-  process.exit(unexpected.length > 0 || passed.size === 0 ? 1 : 0)
+  for (const title of unexpectedFailures) console.log(`failed: ${title}`)
+  const knownRedCount = failed.size - unexpectedFailures.length
+  console.log(`known red: ${knownRedCount}`)
+  console.log(`${passed.size} passed, ${unexpectedFailures.length} failed`)
+  process.exit(unexpectedFailures.length > 0 || passed.size === 0 ? 1 : 0)
 })
   .on('pass', test => passed.add(test.fullTitle()))
   .on('fail', test => failed.add(test.fullTitle()))
