--- a/packages/load/src/benchmarks/membership.ts
+++ b/packages/load/src/benchmarks/membership.ts
@@ -50,7 +50,7 @@
     usage.packMs += performance.now() - startedAt
     usage.messages += 1
   }
-  return { fleet: new VirtualFleet({ size, seed: size, loss, decide, handleSend }), usage }
+  return { fleet: new VirtualFleet({ size, seed: size, lossFraction: loss, decide, handleSend }), usage }
 }
 
 function measureDetection (fleet: VirtualFleet): number {
--- a/packages/load/src/benchmarks/serving.ts
+++ b/packages/load/src/benchmarks/serving.ts
@@ -27,7 +27,7 @@
 
 class WholePlacement extends PlacementView {
   override listServingVms (): readonly string[] { return [] }
-  override listRanking (): readonly string[] { return [] }
+  override listRankedServingVms (): readonly string[] { return [] }
   override isServing (): boolean { return true }
   override listServedDatabases (): readonly string[] { return [] }
   override computeConnectionShare (_database: string, maxConnections: number): number { return maxConnections - 2 }
--- a/packages/proxy/src/app.test.ts
+++ b/packages/proxy/src/app.test.ts
@@ -88,6 +88,6 @@
   })
 
   it('sends no key of a client to an endpoint', () => {
-    for (const e of fleet.endpoints) expect(e.record.countBytes('secret')).to.deep.equal({ count: 0, complete: true })
+    for (const e of fleet.endpoints) expect(e.record.countConnectionsThatReceived('secret')).to.deep.equal({ count: 0, complete: true })
   })
 })
--- a/packages/proxy/src/app.ts
+++ b/packages/proxy/src/app.ts
@@ -9,7 +9,7 @@
 import { startListener, type Listener } from './listener/listener.ts'
 import { startMembership, type RunningMembership } from './membership/membership-actor.ts'
 import type { Member } from './membership/membership-view.ts'
-import { createPlacement } from './membership/placement-actor.ts'
+import { createPlacement } from './membership/rendezvous-placement.ts'
 import type { PlacementView } from './membership/placement-view.ts'
 import { startDatabaseService } from './serving/start-database-service.ts'
 import type { ProxySettings } from './settings.ts'
@@ -55,7 +55,7 @@
   const context = createContext(settings, logger)
   const slices = await startFleetSlices(context)
   // Without the list of members, this VM would consider itself the only one and open connections to every group.
-  await slices.membership.waitJoined()
+  await slices.membership.waitUntilJoined()
   await slices.configuration.waitUntilReady()
   const { servedDatabases, router } = startStatementRouting(context, slices)
   const listener = await startClientListener(context, slices, router)
@@ -138,7 +138,7 @@
 function startService (context: AppContext, slices: FleetSlices, database: Database): DatabaseService {
   const { settings, logger, clock, system, metrics, self } = context
   const { placement } = slices
-  const readRank = () => placement.listRanking(database.database).indexOf(settings.vm)
+  const readRank = () => placement.listRankedServingVms(database.database).indexOf(settings.vm)
   const group = startGroupView({ system, clock, logger, database, vm: settings.vm, incarnation: self.incarnation, readRank, metrics })
   return startDatabaseService({ database, group, placement, system, clock, logger, failureDomain: settings.failureDomain })
 }
--- a/packages/proxy/src/configuration/watchers.ts
+++ b/packages/proxy/src/configuration/watchers.ts
@@ -1,5 +1,5 @@
 import { hashName, hashPair } from '@camphorpitch/wire'
-import { listPlaceable, type Member } from '../membership/membership-view.ts'
+import { listPlaceableMembers, type Member } from '../membership/membership-view.ts'
 
 /** Maximum number of VMs that watch the object service at the same time. */
 export const MAX_WATCHERS = 9
@@ -11,7 +11,7 @@
  * @example selectWatchers(members).has('vm-1')
  */
 export function selectWatchers (members: readonly Member[], maxWatchers = MAX_WATCHERS): Set<string> {
-  const placeable = listPlaceable(members)
+  const placeable = listPlaceableMembers(members)
   const key = hashName('configuration')
   const weights = new Map(placeable.map(m => [m.vm, hashPair(key, hashName(m.vm))]))
   const sorted = placeable.toSorted((a, b) => (weights.get(b.vm) ?? 0) - (weights.get(a.vm) ?? 0) || (a.vm < b.vm ? -1 : 1))
--- a/packages/proxy/src/failover/decide-failover.ts
+++ b/packages/proxy/src/failover/decide-failover.ts
@@ -2,7 +2,7 @@
 import { handleElectionFailure, handleFenceGrant, startElection } from './election.ts'
 import { countReachableInstances, findHighestTerm, findReachablePrimary, findUsablePrimary, hasElapsed, hasRecentReplicaContact, isPrimaryConfirmationPending, isPrimaryLeaving, isReachable, isReplicationLost, listProbedInstances } from './health.ts'
 import type { FailoverEffect, FailoverMessage } from './messages.ts'
-import { listFollowEffects } from './repair.ts'
+import { listFollowEffects } from './list-follow-effects.ts'
 import type { FailoverState, ProbedInstance } from './state.ts'
 
 /**
--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -1,5 +1,5 @@
 import { hashName, type LimitOwners } from '@camphorpitch/wire'
-import { listPlaceable, type Member } from '../membership/membership-view.ts'
+import { listPlaceableMembers, type Member } from '../membership/membership-view.ts'
 import type { LimitEffect } from './effects.ts'
 import type { VersionedOwners } from './messages.ts'
 import { stopCounting } from './ownership.ts'
@@ -57,11 +57,11 @@
 }
 
 function recordCandidates (state: OwnershipState): void {
-  state.candidates = listPlaceable(state.members).filter(m => !(state.isStopping && m.vm === state.self.vm))
+  state.candidates = listPlaceableMembers(state.members).filter(m => !(state.isStopping && m.vm === state.self.vm))
 }
 
 function formatPlaceable (members: readonly Member[]): string {
-  return listPlaceable(members).map(m => m.vm).sort().join()
+  return listPlaceableMembers(members).map(m => m.vm).sort().join()
 }
 
 /** Records since when each owner and witness has been missing from the members. */
--- a/packages/proxy/src/listener/caller-connection.ts
+++ b/packages/proxy/src/listener/client-connection.ts
@@ -1,7 +1,7 @@
 import { dispatch, spawn, stop, type ActorSystemRef, type Ref } from 'nact'
 import { formatRefusal, RefusalCode, type Logger, type Refusal } from '@camphorpitch/wire'
 import { createSession, type SessionState } from '../session/state.ts'
-import { ClientSocket, type ClientCommand } from './caller-socket.ts'
+import { ClientSocket, type ClientCommand } from './client-socket.ts'
 import { abandonTransaction, runCommand, type CommandRunnerOptions } from './command-runner.ts'
 import { ClientDisconnectedError } from './errors.ts'
 import type { LoginResult } from './login.ts'
--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -6,8 +6,8 @@
 import type { SessionState } from '../session/state.ts'
 import type { StatementRouter } from '../statements/statement-router.ts'
 import type { Metrics } from '../telemetry/metrics.ts'
-import { sendToken } from './answers.ts'
-import { CommandCode, MAX_STATEMENT_BYTES, type ClientCommand, type ClientSocket } from './caller-socket.ts'
+import { sendToken } from './session-token-result.ts'
+import { CommandCode, MAX_STATEMENT_BYTES, type ClientCommand, type ClientSocket } from './client-socket.ts'
 
 const UNKNOWN_COMMAND_ERRNO = 1047
 
--- a/packages/proxy/src/listener/listener.ts
+++ b/packages/proxy/src/listener/listener.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '@camphorpitch/wire'
 import { createConnection, type ConnectionOptions } from 'mysql2'
 import type { ActorSystemRef } from 'nact'
-import { ClientConnection } from './caller-connection.ts'
+import { ClientConnection } from './client-connection.ts'
 import type { CommandRunnerOptions } from './command-runner.ts'
 import { checkLogin, type LoginOptions } from './login.ts'
 import type { ServerConnection } from './server-connection.ts'
--- a/packages/proxy/src/listener/answers.ts
+++ b/packages/proxy/src/listener/session-token-result.ts
@@ -1,5 +1,5 @@
 import type { Column } from '@camphorpitch/wire'
-import type { ClientSocket } from './caller-socket.ts'
+import type { ClientSocket } from './client-socket.ts'
 
 const VAR_STRING_TYPE = 253
 const UTF8MB4_GENERAL_CI = 45
--- a/packages/proxy/src/membership/membership-actor.test.ts
+++ b/packages/proxy/src/membership/membership-actor.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai'
 import { start, stop } from 'nact'
 import { startMembership, type RunningMembership } from './membership-actor.ts'
-import { listPlaceable } from './membership-view.ts'
+import { listPlaceableMembers } from './membership-view.ts'
 
 /** Delivers messages between VMs of one process. */
 class LocalPeers extends PeerNetwork {
@@ -65,7 +65,7 @@
     try {
       await waitUntil(() => members.every(m => m.listMembers().length === 4))
       await first.leave()
-      await waitUntil(() => [second, third].every(m => listPlaceable(m.listMembers()).length === 3))
+      await waitUntil(() => [second, third].every(m => listPlaceableMembers(m.listMembers()).length === 3))
       expect(second.findMember('vm-1')?.state).to.equal('leaving')
       fourth.stop()
       networks[3]!.close()
--- a/packages/proxy/src/membership/membership-actor.ts
+++ b/packages/proxy/src/membership/membership-actor.ts
@@ -29,7 +29,7 @@
   /** Announces that this VM accepts no new work. Resolves after the time that peers need to learn of it. */
   abstract leave (): Promise<void>
   /** Resolves once another member's view was received, the platform lists no other VM, or a timeout has passed. Never rejects. */
-  abstract waitJoined (): Promise<void>
+  abstract waitUntilJoined (): Promise<void>
   abstract stop (): void
 }
 
@@ -97,7 +97,7 @@
     await new Promise(resolve => setTimeout(resolve, LEAVE_PROPAGATION_MS))
   }
 
-  override async waitJoined (): Promise<void> {
+  override async waitUntilJoined (): Promise<void> {
     const { clock, logger, self } = this.#options
     const deadlineMs = clock.readNow() + JOIN_TIMEOUT_MS
     while (!this.#slice.readState().hasSynced && !this.#isOnlyListedVm) {
--- a/packages/proxy/src/membership/membership-view.ts
+++ b/packages/proxy/src/membership/membership-view.ts
@@ -21,6 +21,6 @@
 }
 
 /** Lists the members that may be given new work: live and suspected ones. */
-export function listPlaceable (members: readonly Member[]): Member[] {
+export function listPlaceableMembers (members: readonly Member[]): Member[] {
   return members.filter(m => m.state === 'live' || m.state === 'suspected')
 }
--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -6,7 +6,7 @@
 
 const JOIN_DURATION_MS = 8_000
 
-function startFleet (seed: number, size: number, options: { loss?: number, decide?: DecideMembership } = {}): VirtualFleet {
+function startFleet (seed: number, size: number, options: { lossFraction?: number, decide?: DecideMembership } = {}): VirtualFleet {
   const fleet = new VirtualFleet({ size, seed, ...options })
   fleet.run(JOIN_DURATION_MS)
   return fleet
@@ -41,7 +41,7 @@
 describe('membership under faults', () => {
   it('confirms no running VM dead at 30% message loss, in 400 runs', () => {
     for (let seed = 1; seed <= 400; seed++) {
-      const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3 })
+      const fleet = startFleet(seed, 3 + seed % 7, { lossFraction: 0.3 })
       fleet.run(20_000)
       expect(fleet.deaths, `seed ${seed}`).to.deep.equal([])
     }
@@ -50,7 +50,7 @@
   it('would declare running VMs dead at 30% message loss without confirmation by other VMs', () => {
     let deaths = 0
     for (let seed = 1; seed <= 20; seed++) {
-      const fleet = startFleet(seed, 3 + seed % 7, { loss: 0.3, decide: decideNaively })
+      const fleet = startFleet(seed, 3 + seed % 7, { lossFraction: 0.3, decide: decideNaively })
       fleet.run(30_000)
       deaths += fleet.deaths.length
     }
@@ -60,7 +60,7 @@
   it('removes a stopped VM from every view within 40 s and no running VM, in 300 runs with up to 20% message loss', () => {
     for (let seed = 1; seed <= 300; seed++) {
       const size = 3 + seed % 7
-      const fleet = startFleet(seed, size, { loss: (seed % 3) * 0.1 })
+      const fleet = startFleet(seed, size, { lossFraction: (seed % 3) * 0.1 })
       fleet.stopVm('vm-0')
       const boundMs = 2 * 20_000
       const elapsedMs = runUntil(fleet, boundMs, () => fleet.listObserversOf('vm-0').length === 0)
@@ -74,7 +74,7 @@
       const size = 3 + seed % 7
       const fleet = startFleet(seed, size)
       injectFaults(fleet, size)
-      fleet.loss = 0
+      fleet.lossFraction = 0
       fleet.cut(null)
       const elapsedMs = runUntil(fleet, 90_000, () => fleet.hasConverged())
       expect(fleet.hasConverged(), `seed ${seed}, after ${elapsedMs} ms`).to.equal(true)
@@ -92,7 +92,7 @@
       () => fleet.pauseVm(vm, 500 + fleet.pickRandom() * 15_000),
       () => { fleet.stopVm(vm) },
       () => { fleet.startVm(vm) },
-      () => { fleet.loss = fleet.pickRandom() * 0.5 },
+      () => { fleet.lossFraction = fleet.pickRandom() * 0.5 },
       () => { fleet.cut(other => parseVmIndex(other) % sideCount) },
       () => { fleet.cut(null) }
     ]
@@ -127,7 +127,7 @@
 
   it('shows a VM as leaving in every view after 3 s, whether the VM announces it or the platform lists it', () => {
     for (let seed = 1; seed <= 50; seed++) {
-      const fleet = startFleet(seed, 9, { loss: 0.1 })
+      const fleet = startFleet(seed, 9, { lossFraction: 0.1 })
       if (seed % 2 === 0) fleet.leave('vm-2')
       else fleet.listAsLeaving('vm-2')
       fleet.run(3_000)
--- a/packages/proxy/src/membership/placement-view.ts
+++ b/packages/proxy/src/membership/placement-view.ts
@@ -3,7 +3,7 @@
   /** VMs that serve the database, ordered by nearness to this VM. */
   abstract listServingVms (database: string): readonly string[]
   /** The same VMs in the order on which all VMs with the same members agree; the first VM acts where only one should. */
-  abstract listRanking (database: string): readonly string[]
+  abstract listRankedServingVms (database: string): readonly string[]
   abstract isServing (database: string): boolean
   /** Databases that this VM serves. */
   abstract listServedDatabases (): readonly string[]
--- a/packages/proxy/src/membership/placement-actor.ts
+++ b/packages/proxy/src/membership/rendezvous-placement.ts
@@ -1,6 +1,6 @@
 import type { Logger } from '@camphorpitch/wire'
 import type { ConfigurationView } from '../configuration/configuration-view.ts'
-import { listPlaceable, type MembershipView } from './membership-view.ts'
+import { listPlaceableMembers, type MembershipView } from './membership-view.ts'
 import { PlacementView } from './placement-view.ts'
 import { PlacementTable } from './placement-table.ts'
 import { createNearnessComparator, computeStatementConnections, type Candidate } from './placement.ts'
@@ -43,7 +43,7 @@
     this.#updateDatabases()
   }
 
-  override listRanking (database: string): readonly string[] {
+  override listRankedServingVms (database: string): readonly string[] {
     return this.#servingVmsByRank.get(database) ?? []
   }
 
@@ -68,7 +68,7 @@
   }
 
   #updateMembers (): void {
-    const members = listPlaceable(this.#options.membership.listMembers())
+    const members = listPlaceableMembers(this.#options.membership.listMembers())
     this.#publish(this.#table.replaceMembers(members), 'members changed')
   }
 
--- a/packages/proxy/src/membership/virtual-fleet.ts
+++ b/packages/proxy/src/membership/virtual-fleet.ts
@@ -19,7 +19,7 @@
   decide?: DecideMembership
   failureDomains?: number
   /** Fraction of the messages that are lost. */
-  loss?: number
+  lossFraction?: number
   /** Longest one-way delay, in milliseconds. */
   maxDelayMs?: number
   /** Called for each message that is sent. */
@@ -53,7 +53,7 @@
 /** Runs the membership decisions of a fleet under a virtual clock and a seeded network. */
 export class VirtualFleet {
   nowMs = 0
-  loss: number
+  lossFraction: number
   /** Every confirmation of a death by any VM. */
   readonly deaths: ObservedChange[] = []
   /** Every suspicion that begins in any VM's view. */
@@ -72,7 +72,7 @@
 
   constructor (options: VirtualFleetOptions) {
     this.#options = options
-    this.loss = options.loss ?? 0
+    this.lossFraction = options.lossFraction ?? 0
     this.#randomState = options.seed | 0
     for (let i = 0; i < options.size; i++) this.startVm(`vm-${i}`)
   }
@@ -202,7 +202,7 @@
 
   #send (from: string, to: string, body: MembershipMessage): void {
     this.#options.handleSend?.(body)
-    if (this.pickRandom() < this.loss) return
+    if (this.pickRandom() < this.lossFraction) return
     if (this.#findSide !== null && this.#findSide(from) !== this.#findSide(to)) return
     const delayMs = 1 + this.pickRandom() * (this.#options.maxDelayMs ?? 20)
     this.#schedule({ atMs: this.nowMs + delayMs, vm: to, generation: this.#generations.get(to) ?? 0, input: { type: 'received', from, body } })
--- a/packages/proxy/src/pool/endpoint-connection.ts
+++ b/packages/proxy/src/pool/endpoint-connection.ts
@@ -2,7 +2,7 @@
 import mysql, { type Connection, type FieldPacket, type QueryError } from 'mysql2'
 import type { Cell, Column, Database, Endpoint } from '@camphorpitch/wire'
 import { ConnectError, ConnectionLostError, StatementTimeoutError } from './errors.ts'
-import { createPartQueue, isLastPart, type PartQueue, type ResultHeader, type ResultPart } from './part-queue.ts'
+import { createPartQueue, isLastPart, type PartQueue, type ResultHeader, type ResultPart } from './result-part-queue.ts'
 
 const CONNECT_TIMEOUT_MS = 3_000
 /** Time that the endpoint has to close a connection before its socket is destroyed. */
--- a/packages/proxy/src/retries/run-named-write.ts
+++ b/packages/proxy/src/retries/run-named-write.ts
@@ -1,12 +1,12 @@
 import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame, type Cell, type LogPosition, type Refusal } from '@camphorpitch/wire'
 import type { EndpointConnection } from '../pool/endpoint-connection.ts'
-import type { ResultHeader, ResultPart } from '../pool/part-queue.ts'
-import { confirmCommit, confirmVisible } from '../serving/confirm-position.ts'
+import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
+import { confirmCommit, confirmVisibleOnPrimary } from '../serving/confirm-position.ts'
 import { makeRefusal } from '../serving/frames.ts'
 import { acquireLease, runCancellable } from '../serving/run-on-connection.ts'
-import { runOwnStatement } from '../serving/run-own-statement.ts'
-import { waitPrimary } from '../serving/wait-primary.ts'
-import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from '../serving/serving-context.ts'
+import { runSystemStatement } from '../serving/run-system-statement.ts'
+import { waitForPrimary } from '../serving/wait-for-primary.ts'
+import { computeTimeLeftMs, logRoutingDecision, type AcceptedRequest, type ServingContext } from '../serving/serving-context.ts'
 import { canCommitImplicitly } from '../transactions/implicit-commit.ts'
 import { isNotRunError } from './classify-failure.ts'
 import { formatRecordCleanup, formatRecordInsert, formatRecordQuery, formatRecordTableCreation, formatRecordUpdate, hashStatement, hashWriteName, isDuplicateKey, isMissingTable, parseRecord } from './write-record.ts'
@@ -113,9 +113,9 @@
     if (record.statement !== hashStatement(this.#request.text)) {
       return createAnswer(createRefusal('notRunDenied', 'the request id was used for another statement'))
     }
-    const position = await confirmVisible(this.#context, this.#request, this.#endpoint)
+    const position = await confirmVisibleOnPrimary(this.#context, this.#request, this.#endpoint)
     if (position === null) return { kind: 'inDoubt', reason: 'the recorded outcome was not confirmed by a second instance in time' }
-    writeDecision(this.#context, this.#request, this.#endpoint, 'outcome found by request id')
+    logRoutingDecision(this.#context, this.#request, this.#endpoint, 'outcome found by request id')
     return createAnswer({ kind: 'ok', affectedRows: record.affectedRows, insertId: record.insertId, position, transactionId: null })
   }
 
@@ -151,7 +151,7 @@
   if (!('committed' in result)) return result
   const { affectedRows, insertId } = result.committed
   const position = result.position === null
-    ? await confirmVisible(context, request, endpoint)
+    ? await confirmVisibleOnPrimary(context, request, endpoint)
     : await confirmCommit(context, request, result.position)
   if (position === null) return { kind: 'inDoubt', reason: 'the write was not confirmed by a second instance in time' }
   return createAnswer({ kind: 'ok', affectedRows, insertId, position, transactionId: null })
@@ -161,18 +161,18 @@
 async function runAttemptEnsuringTable (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<AttemptOutcome> {
   const outcome = await runAttempt(context, request, endpoint)
   if (outcome.kind !== 'noTable') return outcome
-  await runOwnStatement(context, endpoint, formatRecordTableCreation())
+  await runSystemStatement(context, endpoint, formatRecordTableCreation())
   return await runAttempt(context, request, endpoint)
 }
 
 async function runAtPrimary (context: ServingContext, request: AcceptedRequest): Promise<AttemptOutcome> {
-  const primary = await waitPrimary(context, request, request.required)
+  const primary = await waitForPrimary(context, request, request.required)
   if (primary === undefined) {
     return { kind: 'notSent', frame: makeRefusal('notRunRetry', 'no primary', context.group.estimateRecoveryMs()), isOverload: true }
   }
   const outcome = await runAttemptEnsuringTable(context, request, primary.endpoint)
-  writeDecision(context, request, primary.endpoint, `named write: ${outcome.kind}`)
-  if (++namedWriteCount % WRITES_PER_RECORD_CLEANUP === 0) runOwnStatement(context, primary.endpoint, formatRecordCleanup(Date.now()))
+  logRoutingDecision(context, request, primary.endpoint, `named write: ${outcome.kind}`)
+  if (++namedWriteCount % WRITES_PER_RECORD_CLEANUP === 0) runSystemStatement(context, primary.endpoint, formatRecordCleanup(Date.now()))
   return outcome
 }
 
@@ -194,7 +194,7 @@
     yield createRefusal('notRunDenied', 'only INSERT, UPDATE, DELETE and REPLACE may carry a request id')
     return
   }
-  recordRequest(context.budget)
+  recordRequest(context.retryBudget)
   let inDoubtReason: string | null = null
   for (;;) {
     const outcome = await runAtPrimary(context, request)
@@ -203,11 +203,11 @@
       return
     }
     if (outcome.kind === 'inDoubt') inDoubtReason = outcome.reason
-    const canRetry = outcome.kind === 'notSent' ? !outcome.isOverload : spendRetry(context.budget)
+    const canRetry = outcome.kind === 'notSent' ? !outcome.isOverload : spendRetry(context.retryBudget)
     if (computeTimeLeftMs(context, request) <= 0 || !canRetry) {
       yield createFinalFrame(outcome, inDoubtReason)
       return
     }
-    await context.waitChange(Math.min(RETRY_INTERVAL_MS, Math.max(1, computeTimeLeftMs(context, request))))
+    await context.waitForChange(Math.min(RETRY_INTERVAL_MS, Math.max(1, computeTimeLeftMs(context, request))))
   }
 }
--- a/packages/proxy/src/routing/select-read-target.test.ts
+++ b/packages/proxy/src/routing/select-read-target.test.ts
@@ -3,7 +3,7 @@
 import { comparePositions, hasReached, pickLaterPosition, zeroPosition, type InstanceStatus, type LogPosition, type TermStart } from '@camphorpitch/wire'
 import type { InstanceView } from '../failover/group-view.ts'
 import { computeBaseline, recordBaseline, type BaselineHistory } from './baseline-history.ts'
-import { isInTerm, isShownDurable } from './instance-contents.ts'
+import { isLastAppliedOfCurrentTerm, isReplicaOfCurrentTerm } from './instance-contents.ts'
 import { selectReadTarget, type ReadTarget, type ReadTargetOptions } from './select-read-target.ts'
 
 const INSTANCE_NAMES = ['db-1', 'db-2', 'db-3']
@@ -181,7 +181,7 @@
     if (target.kind === 'none') return
     const instance = this.#instances.find(i => i.name === target.endpoint)!
     const status = readStatus(instance)
-    const isConfirmed = target.isPrimary ? isInTerm(status) && (status.applied.index === 0 || this.#isDurable(status.applied)) : isShownDurable(status)
+    const isConfirmed = target.isPrimary ? isLastAppliedOfCurrentTerm(status) && (status.applied.index === 0 || this.#isDurable(status.applied)) : isReplicaOfCurrentTerm(status)
     if (this.#hasReadConfirmation && !isConfirmed) return
     this.answeredReads++
     if (!target.isPrimary) this.answeredByReplica++
--- a/packages/proxy/src/routing/select-read-target.ts
+++ b/packages/proxy/src/routing/select-read-target.ts
@@ -2,7 +2,7 @@
 import type { InstanceView } from '../failover/group-view.ts'
 import type { BaselineHistory } from './baseline-history.ts'
 import { findHeldBaselineTimeMs } from './baseline-history.ts'
-import { hasShown, isShownDurable } from './instance-contents.ts'
+import { hasApplied, isReplicaOfCurrentTerm } from './instance-contents.ts'
 
 /** What a read requires of the instance that serves it. */
 export interface ReadRequirement {
@@ -37,7 +37,7 @@
   const { status } = instance
   if (status === null) return false
   const { required, maxAgeMs } = requirement
-  if (required !== null && hasShown(status, required)) return true
+  if (required !== null && hasApplied(status, required)) return true
   if (maxAgeMs <= 0) return false
   return nowMs - findHeldBaselineTimeMs(history, status) <= maxAgeMs
 }
@@ -51,7 +51,7 @@
   const { endpoint, status, isReachable } = instance
   if (!isReachable || status === null || options.excluded.has(endpoint.endpoint)) return false
   if (endpoint.state === 'leaving' && endpoint.endpoint !== options.primary) return false
-  if (endpoint.endpoint !== options.primary && !isShownDurable(status)) return false
+  if (endpoint.endpoint !== options.primary && !isReplicaOfCurrentTerm(status)) return false
   return isFreshEnough(instance, options)
 }
 
--- a/packages/proxy/src/serving/confirm-position.ts
+++ b/packages/proxy/src/serving/confirm-position.ts
@@ -1,5 +1,5 @@
 import type { InstanceStatus, LogPosition } from '@camphorpitch/wire'
-import { hasShown, isInTerm, isPairMajority, isShownDurable } from '../routing/instance-contents.ts'
+import { hasApplied, isLastAppliedOfCurrentTerm, isPairMajority, isReplicaOfCurrentTerm } from '../routing/instance-contents.ts'
 import { computeTimeLeftMs, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
 /** A position known to survive any change of primary; `null` when this could not be confirmed in time. */
@@ -41,10 +41,10 @@
 }
 
 /** Waits until all entries that were visible on the primary at the time of the call survive any change of primary. */
-export async function confirmVisible (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<ConfirmedPosition> {
+export async function confirmVisibleOnPrimary (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<ConfirmedPosition> {
   const status = await probeWithTimeout(context, endpoint, computeTimeLeftMs(context, request))
   if (status === undefined) return null
-  if (isInTerm(status)) return await confirmCommit(context, request, status.applied)
+  if (isLastAppliedOfCurrentTerm(status)) return await confirmCommit(context, request, status.applied)
   if (status.role !== 'primary') return null
   const isDurable = await waitWithTimeout(context.termBarrier.confirm(context, endpoint, status.term), computeTimeLeftMs(context, request))
   return isDurable === true ? status.applied : null
@@ -61,7 +61,7 @@
  */
 export async function confirmVisibleOnReplica (context: ServingContext, request: AcceptedRequest, endpoint: string): Promise<ConfirmedPosition> {
   const status = await probeWithTimeout(context, endpoint, computeTimeLeftMs(context, request))
-  if (status === undefined || !isShownDurable(status)) return null
+  if (status === undefined || !isReplicaOfCurrentTerm(status)) return null
   if (isPairMajority(context.group.listInstances().length)) return status.applied
   return await confirmCommit(context, request, status.applied)
 }
@@ -69,7 +69,7 @@
 /** Whether the instance holds `required`, according to its last status or to a probe that begins now. */
 export async function hasRequiredPosition (context: ServingContext, request: AcceptedRequest, endpoint: string, required: LogPosition): Promise<boolean> {
   const lastStatus = context.group.listInstances().find(i => i.endpoint.endpoint === endpoint)?.status
-  if (lastStatus && hasShown(lastStatus, required)) return true
+  if (lastStatus && hasApplied(lastStatus, required)) return true
   const status = await probeWithTimeout(context, endpoint, computeTimeLeftMs(context, request))
-  return status !== undefined && hasShown(status, required)
+  return status !== undefined && hasApplied(status, required)
 }
--- a/packages/proxy/src/serving/database-service.test.ts
+++ b/packages/proxy/src/serving/database-service.test.ts
@@ -135,7 +135,7 @@
   share = 20
   readonly listeners: Array<() => void> = []
   override listServingVms (): readonly string[] { return [] }
-  override listRanking (): readonly string[] { return this.listServingVms() }
+  override listRankedServingVms (): readonly string[] { return this.listServingVms() }
   override isServing (): boolean { return true }
   override listServedDatabases (): readonly string[] { return [] }
   override computeConnectionShare (_database: string, maxConnections: number): number { return Math.min(this.share, maxConnections) }
--- a/packages/proxy/src/serving/find-read-target.ts
+++ b/packages/proxy/src/serving/find-read-target.ts
@@ -73,7 +73,7 @@
 async function waitForReplica (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, waitMs: number): Promise<ReadTarget> {
   const startMs = context.clock.readNow()
   for (;;) {
-    await context.waitChange(REPLICA_RECHECK_INTERVAL_MS)
+    await context.waitForChange(REPLICA_RECHECK_INTERVAL_MS)
     const waitedMs = context.clock.readNow() - startMs
     await probeReplicas(context, requirement, excluded, Math.max(1, waitMs - waitedMs))
     const target = selectTarget(context, requirement, excluded)
@@ -99,6 +99,6 @@
     if (timeLeftMs <= 0) return lastTarget
     // A failure may be temporary, as during a change of primary, so excluded instances are tried again.
     excluded.clear()
-    await context.waitChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
+    await context.waitForChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
   }
 }
--- a/packages/proxy/src/serving/run-on-connection.ts
+++ b/packages/proxy/src/serving/run-on-connection.ts
@@ -1,6 +1,6 @@
 import type { EndpointConnection } from '../pool/endpoint-connection.ts'
 import type { Acquisition } from '../pool/instance-pool.ts'
-import { isLastPart, type ResultPart } from '../pool/part-queue.ts'
+import { isLastPart, type ResultPart } from '../pool/result-part-queue.ts'
 import { computeTimeLeftMs, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
 const MIN_TIMEOUT_MS = 1
--- a/packages/proxy/src/serving/run-read.ts
+++ b/packages/proxy/src/serving/run-read.ts
@@ -1,11 +1,11 @@
 import { describeError, recordRequest, spendRetry, type AnswerFrame } from '@camphorpitch/wire'
 import type { ReadTarget } from '../routing/select-read-target.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
-import { confirmVisibleOnReplica, confirmVisible } from './confirm-position.ts'
+import { confirmVisibleOnReplica, confirmVisibleOnPrimary } from './confirm-position.ts'
 import { findReadTarget } from './find-read-target.ts'
 import { makeRefusal } from './frames.ts'
 import { acquireLease, runOnConnection } from './run-on-connection.ts'
-import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
+import { computeTimeLeftMs, logRoutingDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
 
 type InstanceTarget = Extract<ReadTarget, { kind: 'instance' }>
 
@@ -22,7 +22,7 @@
 
 /** Waits until all entries that the read can have seen survive any change of primary. */
 function confirmRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget) {
-  const confirm = target.isPrimary ? confirmVisible : confirmVisibleOnReplica
+  const confirm = target.isPrimary ? confirmVisibleOnPrimary : confirmVisibleOnReplica
   return confirm(context, request, target.endpoint)
 }
 
@@ -77,7 +77,7 @@
 
 /** Runs a read on a replica or the primary; a read that has yielded nothing yet may be repeated on another instance. */
 export async function * runRead (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
-  recordRequest(context.budget)
+  recordRequest(context.retryBudget)
   const excluded = new Set<string>()
   let refusal: AnswerFrame | undefined
   let hasRun = false
@@ -87,14 +87,14 @@
       yield hasRun && refusal !== undefined ? refusal : makeRefusal('notRunRetry', target.reason, context.group.estimateRecoveryMs())
       return
     }
-    writeDecision(context, request, target.endpoint, target.reason)
+    logRoutingDecision(context, request, target.endpoint, target.reason)
     const outcome = yield * attemptRead(context, request, target)
     if (outcome.isFinal) return
     if (refusal === undefined || outcome.hasRun || !hasRun) refusal = outcome.frame
     hasRun ||= outcome.hasRun
     excluded.add(target.endpoint)
     const canRetry = excluded.size < context.group.listInstances().length && computeTimeLeftMs(context, request) > 0
-    if (!canRetry || (outcome.hasBeenSent && !spendRetry(context.budget))) {
+    if (!canRetry || (outcome.hasBeenSent && !spendRetry(context.retryBudget))) {
       yield refusal
       return
     }
--- a/packages/proxy/src/serving/run-own-statement.ts
+++ b/packages/proxy/src/serving/run-system-statement.ts
@@ -1,4 +1,4 @@
-import type { ResultPart } from '../pool/part-queue.ts'
+import type { ResultPart } from '../pool/result-part-queue.ts'
 import type { ServingContext } from './serving-context.ts'
 
 /** Workspace under which the proxy's own statements queue for connections. */
@@ -9,7 +9,7 @@
  * Runs a statement that the proxy itself issues, and returns the last part of the endpoint's response;
  * `undefined` when no connection was granted or the response was not complete. A failed statement is logged.
  */
-export async function runOwnStatement (context: ServingContext, endpoint: string, text: string): Promise<ResultPart | undefined> {
+export async function runSystemStatement (context: ServingContext, endpoint: string, text: string): Promise<ResultPart | undefined> {
   const { database, logger, clock, pools } = context
   const lease = await pools.findPool(endpoint)?.acquire({ workspace: SYSTEM_WORKSPACE, isPinned: false, deadlineMs: clock.readNow() + STATEMENT_TIMEOUT_MS }).acquisition
   if (lease === undefined || !lease.granted) return undefined
--- a/packages/proxy/src/serving/run-write.ts
+++ b/packages/proxy/src/serving/run-write.ts
@@ -1,11 +1,11 @@
 import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame } from '@camphorpitch/wire'
-import type { ResultHeader, ResultPart } from '../pool/part-queue.ts'
+import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
-import { confirmCommit, confirmVisible } from './confirm-position.ts'
+import { confirmCommit, confirmVisibleOnPrimary } from './confirm-position.ts'
 import { makeRefusal } from './frames.ts'
 import { acquireLease, runOnConnection } from './run-on-connection.ts'
-import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
-import { waitPrimary } from './wait-primary.ts'
+import { computeTimeLeftMs, logRoutingDecision, type AcceptedRequest, type ServingContext } from './serving-context.ts'
+import { waitForPrimary } from './wait-for-primary.ts'
 
 /** Longest time until a write is sent again if the group does not change before. */
 const MAX_RETRY_DELAY_MS = 50
@@ -14,7 +14,7 @@
 export async function confirmHeader (context: ServingContext, request: AcceptedRequest, endpoint: string, header: ResultHeader): Promise<AnswerFrame> {
   const commitPosition = parseCommitInfo(header.info)
   const position = commitPosition === null
-    ? await confirmVisible(context, request, endpoint)
+    ? await confirmVisibleOnPrimary(context, request, endpoint)
     : await confirmCommit(context, request, commitPosition)
   if (position === null) return makeRefusal('outcomeUnknown', 'the write was not confirmed by a second instance in time')
   return { kind: 'ok', affectedRows: header.affectedRows, insertId: header.insertId, position, transactionId: null }
@@ -33,7 +33,7 @@
     yield part
     return
   }
-  const position = await confirmVisible(context, request, endpoint)
+  const position = await confirmVisibleOnPrimary(context, request, endpoint)
   if (position === null) {
     yield makeRefusal('outcomeUnknown', 'the statement was not confirmed by a second instance in time')
     return
@@ -66,20 +66,20 @@
 
 /** Runs a write on the primary; it is sent again only when it is known not to have run. */
 export async function * runWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
-  recordRequest(context.budget)
+  recordRequest(context.retryBudget)
   for (;;) {
-    const primary = await waitPrimary(context, request, request.required)
+    const primary = await waitForPrimary(context, request, request.required)
     if (primary === undefined) {
       yield makeRefusal('notRunRetry', 'no primary', context.group.estimateRecoveryMs())
       return
     }
-    writeDecision(context, request, primary.endpoint, 'primary')
+    logRoutingDecision(context, request, primary.endpoint, 'primary')
     const outcome = yield * attemptWrite(context, request, primary.endpoint)
     if (outcome === 'responded') return
-    if (computeTimeLeftMs(context, request) <= 0 || (outcome.hasBeenSent && !spendRetry(context.budget))) {
+    if (computeTimeLeftMs(context, request) <= 0 || (outcome.hasBeenSent && !spendRetry(context.retryBudget))) {
       yield outcome.notRun
       return
     }
-    await context.waitChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
+    await context.waitForChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
   }
 }
--- a/packages/proxy/src/serving/serving-context.ts
+++ b/packages/proxy/src/serving/serving-context.ts
@@ -15,11 +15,11 @@
   /** Failure domain of this VM. */
   failureDomain: string
   /** Limits how many statements are sent again. */
-  budget: RetryBudget
+  retryBudget: RetryBudget
   termBarrier: TermBarrier
   readBaselineHistory: () => BaselineHistory
   /** Resolves at the next change of the group, or after `timeoutMs`. */
-  waitChange: (timeoutMs: number) => Promise<void>
+  waitForChange: (timeoutMs: number) => Promise<void>
 }
 
 /** A request with its deadline on this VM's clock. */
@@ -35,7 +35,7 @@
 }
 
 /** Logs the endpoint that a statement is sent to, and why that endpoint was chosen. */
-export function writeDecision (context: ServingContext, request: StatementRequest, endpoint: string, reason: string): void {
+export function logRoutingDecision (context: ServingContext, request: StatementRequest, endpoint: string, reason: string): void {
   context.logger.debug('statement routed', {
     request: request.requestId,
     workspace: request.workspace,
--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -6,7 +6,7 @@
 import { EndpointPools } from '../pool/endpoint-pools.ts'
 import { runNamedWrite } from '../retries/run-named-write.ts'
 import { recordBaseline, type BaselineHistory } from '../routing/baseline-history.ts'
-import { isInTerm } from '../routing/instance-contents.ts'
+import { isLastAppliedOfCurrentTerm } from '../routing/instance-contents.ts'
 import { DatabaseService } from '../statements/database-service.ts'
 import { TransactionRunner } from '../transactions/run-transaction.ts'
 import { createCancellation, makeCancellable, type Cancellation } from './cancellation.ts'
@@ -69,10 +69,10 @@
     clock,
     logger,
     failureDomain,
-    budget: createRetryBudget(),
+    retryBudget: createRetryBudget(),
     termBarrier: createTermBarrier(),
     readBaselineHistory: () => baselineHistory,
-    waitChange: changeSignal.wait
+    waitForChange: changeSignal.wait
   }
   group.subscribe(() => {
     baselineHistory = recordBaseline(baselineHistory, group.listInstances())
@@ -89,7 +89,7 @@
   const primary = context.group.findPrimary()
   if (primary === undefined) return
   const view = context.group.listInstances().find(i => i.endpoint.endpoint === primary.endpoint.endpoint)
-  if (!view?.status || isInTerm(view.status)) return
+  if (!view?.status || isLastAppliedOfCurrentTerm(view.status)) return
   context.termBarrier.confirm(context, primary.endpoint.endpoint, view.status.term)
 }
 
--- a/packages/proxy/src/serving/term-barrier.ts
+++ b/packages/proxy/src/serving/term-barrier.ts
@@ -1,6 +1,6 @@
 import { parseCommitInfo } from '@camphorpitch/wire'
 import { isMissingTable } from '../retries/write-record.ts'
-import { runOwnStatement } from './run-own-statement.ts'
+import { runSystemStatement } from './run-system-statement.ts'
 import type { ServingContext } from './serving-context.ts'
 
 const DURABLE_TIMEOUT_MS = 5_000
@@ -21,10 +21,10 @@
 
 async function writeTermEntry (context: ServingContext, endpoint: string, term: number): Promise<boolean> {
   const text = `REPLACE INTO ${TERM_TABLE} (id, term) VALUES (1, ${term})`
-  let last = await runOwnStatement(context, endpoint, text)
+  let last = await runSystemStatement(context, endpoint, text)
   if (last?.kind === 'failed' && isMissingTable(last.errno)) {
-    await runOwnStatement(context, endpoint, CREATE_TERM_TABLE)
-    last = await runOwnStatement(context, endpoint, text)
+    await runSystemStatement(context, endpoint, CREATE_TERM_TABLE)
+    last = await runSystemStatement(context, endpoint, text)
   }
   if (last?.kind !== 'header') return false
   const position = parseCommitInfo(last.header.info)
--- a/packages/proxy/src/serving/wait-primary.ts
+++ b/packages/proxy/src/serving/wait-for-primary.ts
@@ -5,7 +5,7 @@
 const RECHECK_INTERVAL_MS = 50
 
 /** Waits for a primary that holds `required`; `undefined` when none was found before the request's deadline, or when the group is not expected to recover before it. */
-export async function waitPrimary (context: ServingContext, request: AcceptedRequest, required: LogPosition | null): Promise<Endpoint | undefined> {
+export async function waitForPrimary (context: ServingContext, request: AcceptedRequest, required: LogPosition | null): Promise<Endpoint | undefined> {
   for (;;) {
     const primary = context.group.findPrimary()
     if (primary !== undefined) {
@@ -14,6 +14,6 @@
     }
     const timeLeftMs = computeTimeLeftMs(context, request)
     if (timeLeftMs <= 0 || context.group.estimateRecoveryMs() > timeLeftMs) return undefined
-    await context.waitChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
+    await context.waitForChange(Math.min(timeLeftMs, RECHECK_INTERVAL_MS))
   }
 }
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -1,7 +1,7 @@
 import type { AnswerFrame, Contract, FleetSecret, LogPosition, Refusal, StatementClass } from '@camphorpitch/wire'
 import { classifyStatement, trimStatement } from './classify-statement.ts'
 import { dropPosition, recordPosition, type SessionState } from './state.ts'
-import { parseProxyCommand, type ProxyCommand } from './steering.ts'
+import { parseProxyCommand, type ProxyCommand } from './proxy-command.ts'
 import { applyToken, SessionTokenError, signToken } from './token.ts'
 
 /** What the entry VM must do for one statement of a client. */
--- a/packages/proxy/src/statements/forwarding.test.ts
+++ b/packages/proxy/src/statements/forwarding.test.ts
@@ -35,7 +35,7 @@
 class FixedPlacement extends PlacementView {
   vms: string[] = []
   override listServingVms (): string[] { return this.vms }
-  override listRanking (): string[] { return this.vms }
+  override listRankedServingVms (): string[] { return this.vms }
   override isServing (): boolean { return false }
   override listServedDatabases (): string[] { return [] }
   override computeConnectionShare (): number { return 1 }
--- a/packages/proxy/src/statements/served-databases.test.ts
+++ b/packages/proxy/src/statements/served-databases.test.ts
@@ -20,7 +20,7 @@
   served: string[] = ['orders']
   notifyChange: () => void = () => {}
   override listServingVms (): string[] { return [] }
-  override listRanking (): string[] { return [] }
+  override listRankedServingVms (): string[] { return [] }
   override isServing (): boolean { return true }
   override listServedDatabases (): string[] { return this.served }
   override computeConnectionShare (): number { return 1 }
--- a/packages/proxy/src/transactions/run-transaction.ts
+++ b/packages/proxy/src/transactions/run-transaction.ts
@@ -1,11 +1,11 @@
 import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame, type Endpoint, type LogPosition } from '@camphorpitch/wire'
-import type { ResultHeader, ResultPart } from '../pool/part-queue.ts'
+import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
-import { confirmCommit, confirmVisible } from '../serving/confirm-position.ts'
+import { confirmCommit, confirmVisibleOnPrimary } from '../serving/confirm-position.ts'
 import { makeRefusal } from '../serving/frames.ts'
 import { acquireLease, runCancellable, type ConnectionLease } from '../serving/run-on-connection.ts'
-import { waitPrimary } from '../serving/wait-primary.ts'
-import { computeTimeLeftMs, writeDecision, type AcceptedRequest, type ServingContext } from '../serving/serving-context.ts'
+import { waitForPrimary } from '../serving/wait-for-primary.ts'
+import { computeTimeLeftMs, logRoutingDecision, type AcceptedRequest, type ServingContext } from '../serving/serving-context.ts'
 import { canCommitImplicitly, isTransactionEndError } from './implicit-commit.ts'
 import { findTransaction, listIdleTransactions, type Transaction, type TransactionTable } from './transaction-table.ts'
 
@@ -68,24 +68,24 @@
   /** Begins a transaction on the primary; yields `ok` with the transaction's id, an error, or a refusal. */
   async * begin (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
     const context = this.#context
-    recordRequest(context.budget)
+    recordRequest(context.retryBudget)
     for (;;) {
       const { frame, retry } = await this.#attemptBegin(request)
-      const canRetry = retry === 'free' || (retry === 'budgeted' && spendRetry(context.budget))
+      const canRetry = retry === 'free' || (retry === 'budgeted' && spendRetry(context.retryBudget))
       if (!canRetry || computeTimeLeftMs(context, request) <= 0) {
         yield frame
         return
       }
-      await context.waitChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
+      await context.waitForChange(Math.min(MAX_RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
     }
   }
 
   async #attemptBegin (request: AcceptedRequest): Promise<BeginAttempt> {
     const context = this.#context
     const required = await this.#findRequiredPosition(request)
-    const primary = required === undefined ? undefined : await waitPrimary(context, request, required)
+    const primary = required === undefined ? undefined : await waitForPrimary(context, request, required)
     if (primary === undefined) return { frame: makeRefusal('notRunRetry', 'no primary', context.group.estimateRecoveryMs()), retry: 'never' }
-    writeDecision(context, request, primary.endpoint, 'transaction on the primary')
+    logRoutingDecision(context, request, primary.endpoint, 'transaction on the primary')
     const lease = await acquireLease(context, request, primary.endpoint, true)
     if (!lease.granted) return { frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs), retry: lease.isOverload ? 'never' : 'free' }
     const last = await this.#sendBegin(request, lease)
@@ -204,7 +204,7 @@
   async #confirmEnd (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): Promise<AnswerFrame> {
     const commitPosition = parseCommitInfo(header.info)
     const position = commitPosition === null
-      ? await confirmVisible(this.#context, request, transaction.endpoint.endpoint)
+      ? await confirmVisibleOnPrimary(this.#context, request, transaction.endpoint.endpoint)
       : await confirmCommit(this.#context, request, commitPosition)
     if (position !== null) return { kind: 'ok', affectedRows: header.affectedRows, insertId: header.insertId, position, transactionId: null }
     if (request.class === 'rollback') return makeRefusal('transactionLost', 'rolled back; what it read was not confirmed by a second instance')
--- a/packages/standins/src/endpoint/control-server.ts
+++ b/packages/standins/src/endpoint/control-server.ts
@@ -1,8 +1,8 @@
 import fastify, { type FastifyInstance } from 'fastify'
 import type { AddressInfo } from 'node:net'
-import type { FaultInjector } from './fault-gate.ts'
+import type { FaultInjector } from './fault-injector.ts'
 import type { GroupMember } from './group-member.ts'
-import type { InstanceRecord } from './record.ts'
+import type { InstanceRecord } from './instance-record.ts'
 import { faultsSchema } from './settings.ts'
 
 export interface ControlServerOptions {
@@ -31,7 +31,7 @@
   app.get<{ Querystring: { contains?: string } }>('/record/bytes', async (request, reply) => {
     const { contains } = request.query
     if (contains === undefined || contains === '') return await reply.code(400).send({ error: 'contains: expected a text' })
-    return record.countBytes(contains)
+    return record.countConnectionsThatReceived(contains)
   })
   await app.listen({ host: '127.0.0.1', port: options.port })
   return { port: (app.server.address() as AddressInfo).port, stop: async () => { await app.close() } }
--- a/packages/standins/src/endpoint/group-member.ts
+++ b/packages/standins/src/endpoint/group-member.ts
@@ -1,6 +1,6 @@
 import type { InstanceStatus, LogPosition, WaitResult } from '@camphorpitch/wire'
 import type { Engine } from './engine.ts'
-import type { FaultInjector } from './fault-gate.ts'
+import type { FaultInjector } from './fault-injector.ts'
 import { nullStateFile, type StateFile } from './state-file.ts'
 import {
   addEntry, applyShipment, createShipment, describeStatus, fence, follow, hasEntryInCurrentTerm, promote, readPosition,
--- a/packages/standins/src/endpoint/record.ts
+++ b/packages/standins/src/endpoint/instance-record.ts
@@ -51,7 +51,7 @@
   }
 
   /** Counts the connections that received `text`; `complete` tells whether all received bytes were kept. */
-  countBytes (text: string): { count: number, complete: boolean } {
+  countConnectionsThatReceived (text: string): { count: number, complete: boolean } {
     const wanted = Buffer.from(text, 'utf8')
     const count = [...this.#receivedChunks.values()].filter(chunks => Buffer.concat(chunks).includes(wanted)).length
     return { count, complete: this.#receivedBytes <= MAX_RECORDED_BYTES }
--- a/packages/standins/src/endpoint/replication.ts
+++ b/packages/standins/src/endpoint/replication.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '@camphorpitch/wire'
 import mysql, { type Connection } from 'mysql2/promise'
 import { setTimeout as wait } from 'node:timers/promises'
-import type { FaultInjector } from './fault-gate.ts'
+import type { FaultInjector } from './fault-injector.ts'
 import { formatLogRequest, shipmentSchema } from './group-commands.ts'
 import type { GroupMember } from './group-member.ts'
 import { createLogRequest, mergeEntries, type LogEntry, type PrimaryAddress, type Shipment } from './group-rules.ts'
