--- a/packages/wire/src/database/position.ts
+++ b/packages/wire/src/database/position.ts
@@ -70,7 +70,7 @@
   if (required.index === 0) return true
   if (applied.term < required.term || applied.index < required.index) return false
   if (applied.term === required.term) return true
-  const next = termStarts.find(([term]) => term > required.term)
-  if (next === undefined) return false
-  return required.index < next[1]
+  const nextTermStart = termStarts.find(([term]) => term > required.term)
+  if (nextTermStart === undefined) return false
+  return required.index < nextTermStart[1]
 }
--- a/packages/wire/src/errors/refusal.ts
+++ b/packages/wire/src/errors/refusal.ts
@@ -20,7 +20,7 @@
 })
 export type Refusal = z.infer<typeof refusalSchema>
 
-const phrases: Record<Refusal['kind'], string> = {
+const textsByKind: Record<Refusal['kind'], string> = {
   notRunRetry: 'not run',
   notRunDenied: 'not run, not allowed',
   outcomeUnknown: 'outcome unknown',
@@ -35,7 +35,7 @@
  */
 export function formatRefusal (refusal: Refusal): string {
   const retry = refusal.retryAfterMs === undefined ? '' : `; retry after ${Math.ceil(refusal.retryAfterMs)} ms`
-  const text = `camphorpitch: ${phrases[refusal.kind]}: ${refusal.reason}${retry}`
+  const text = `camphorpitch: ${textsByKind[refusal.kind]}: ${refusal.reason}${retry}`
   return text.replace(/\s*\n\s*/g, ': ').replace(/[^\x20-\x7e]/g, '?')
 }
 
--- a/packages/wire/src/peer/link-registry.ts
+++ b/packages/wire/src/peer/link-registry.ts
@@ -3,18 +3,18 @@
 import type { PeerLink } from './link.ts'
 
 /** Silence after a send before the peer is pinged. */
-const PING_AFTER_MS = 1_000
+const PING_DELAY_MS = 1_000
 /** Silence after a send before the link is held for broken. */
-const BROKEN_AFTER_MS = 3_000
+const RESPONSE_TIMEOUT_MS = 3_000
 /** Links unused for this long are closed; above the longest statement timeout. */
-const IDLE_CLOSE_MS = 900_000
+const IDLE_LINK_TIMEOUT_MS = 900_000
 
 interface LinkActivity {
   link: PeerLink
-  lastReceivedMs: number
-  lastUsedMs: number
+  lastReceivedAtMs: number
+  lastUsedAtMs: number
   /** When the oldest send that nothing has followed from the peer was made; `null` for none. */
-  awaitingSinceMs: number | null
+  unansweredSinceMs: number | null
 }
 
 /** The open links, their activity and liveness. */
@@ -27,8 +27,8 @@
   }
 
   addLink (link: PeerLink): void {
-    const now = this.#clock.readNow()
-    const activity: LinkActivity = { link, lastReceivedMs: now, lastUsedMs: now, awaitingSinceMs: null }
+    const nowMs = this.#clock.readNow()
+    const activity: LinkActivity = { link, lastReceivedAtMs: nowMs, lastUsedAtMs: nowMs, unansweredSinceMs: null }
     link.subscribePong(() => this.recordReceived(link))
     const existing = this.#links.get(link.peer.vm) ?? []
     existing.push(activity)
@@ -62,24 +62,24 @@
   send (link: PeerLink, envelope: Envelope): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
-    const now = this.#clock.readNow()
-    activity.lastUsedMs = now
-    activity.awaitingSinceMs ??= now
+    const nowMs = this.#clock.readNow()
+    activity.lastUsedAtMs = nowMs
+    activity.unansweredSinceMs ??= nowMs
     if (!link.send(envelope)) link.terminate()
   }
 
   recordReceived (link: PeerLink): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
-    activity.lastReceivedMs = this.#clock.readNow()
-    activity.lastUsedMs = activity.lastReceivedMs
-    activity.awaitingSinceMs = null
+    activity.lastReceivedAtMs = this.#clock.readNow()
+    activity.lastUsedAtMs = activity.lastReceivedAtMs
+    activity.unansweredSinceMs = null
   }
 
   /** Pings silent links and cuts broken and unused ones. */
   checkLinks (): void {
-    const now = this.#clock.readNow()
-    for (const activity of [...this.#links.values()].flat()) checkLink(activity, now)
+    const nowMs = this.#clock.readNow()
+    for (const activity of [...this.#links.values()].flat()) checkLink(activity, nowMs)
   }
 
   #findActivity (link: PeerLink): LinkActivity | undefined {
@@ -87,13 +87,13 @@
   }
 }
 
-function checkLink (activity: LinkActivity, now: number): void {
-  if (now - activity.lastUsedMs > IDLE_CLOSE_MS) {
+function checkLink (activity: LinkActivity, nowMs: number): void {
+  if (nowMs - activity.lastUsedAtMs > IDLE_LINK_TIMEOUT_MS) {
     activity.link.close()
     return
   }
-  if (activity.awaitingSinceMs === null) return
-  const silentMs = now - activity.awaitingSinceMs
-  if (silentMs > BROKEN_AFTER_MS) activity.link.terminate()
-  else if (silentMs > PING_AFTER_MS) activity.link.ping()
+  if (activity.unansweredSinceMs === null) return
+  const unansweredMs = nowMs - activity.unansweredSinceMs
+  if (unansweredMs > RESPONSE_TIMEOUT_MS) activity.link.terminate()
+  else if (unansweredMs > PING_DELAY_MS) activity.link.ping()
 }
--- a/packages/wire/src/peer/link.ts
+++ b/packages/wire/src/peer/link.ts
@@ -18,14 +18,14 @@
 export class PeerLink {
   readonly peer: Hello
   readonly #socket: WebSocket
-  readonly #outbox: Envelope[] = []
+  readonly #queuedEnvelopes: Envelope[] = []
 
-  constructor (peer: Hello, inbox: SocketInbox, handlers: LinkHandlers) {
+  constructor (peer: Hello, bufferedSocket: BufferedSocket, handlers: LinkHandlers) {
     this.peer = peer
-    this.#socket = inbox.socket
-    inbox.socket.on('close', () => handlers.onClose(this))
+    this.#socket = bufferedSocket.socket
+    bufferedSocket.socket.on('close', () => handlers.onClose(this))
     // Not at once: the creator registers the link first.
-    setImmediate(() => inbox.drainTo(data => this.#receive(data, handlers)))
+    setImmediate(() => bufferedSocket.forwardTo(data => this.#receive(data, handlers)))
   }
 
   get isOpen (): boolean {
@@ -35,14 +35,14 @@
   /** Sends if the link is open and not overfull; tells whether it was handed to the socket. */
   send (envelope: Envelope): boolean {
     if (!this.isOpen || this.#socket.bufferedAmount > MAX_BUFFERED_BYTES) return false
-    this.#outbox.push(envelope)
-    if (this.#outbox.length === 1) setImmediate(() => this.#flush())
+    this.#queuedEnvelopes.push(envelope)
+    if (this.#queuedEnvelopes.length === 1) setImmediate(() => this.#flush())
     return true
   }
 
   /** Sends everything of one turn of the event loop as one message. */
   #flush (): void {
-    const envelopes = this.#outbox.splice(0)
+    const envelopes = this.#queuedEnvelopes.splice(0)
     if (this.isOpen) this.#socket.send(pack(envelopes))
   }
 
@@ -81,54 +81,54 @@
 }
 
 /** Keeps what arrives on a socket until somebody takes it, so that nothing is lost around the hello. */
-class SocketInbox {
+class BufferedSocket {
   readonly socket: WebSocket
-  readonly #waiting: Buffer[] = []
+  readonly #bufferedMessages: Buffer[] = []
   #receiver: ((data: Buffer) => void) | undefined
-  #wake: (() => void) | undefined
+  #notifyReader: (() => void) | undefined
 
   constructor (socket: WebSocket) {
     this.socket = socket
     socket.on('message', data => this.#receive(data as Buffer))
-    socket.on('close', () => this.#wake?.())
+    socket.on('close', () => this.#notifyReader?.())
     socket.on('error', () => socket.terminate())
   }
 
   /** @throws LinkError when the socket closes or nothing comes in time */
-  async readFirst (): Promise<Buffer> {
+  async readFirstMessage (): Promise<Buffer> {
     const timer = setTimeout(() => this.socket.terminate(), HELLO_TIMEOUT_MS)
-    if (this.#waiting.length === 0) await new Promise<void>(resolve => { this.#wake = resolve })
+    if (this.#bufferedMessages.length === 0) await new Promise<void>(resolve => { this.#notifyReader = resolve })
     clearTimeout(timer)
-    const first = this.#waiting.shift()
+    const first = this.#bufferedMessages.shift()
     if (first === undefined) throw new LinkError('closed before hello')
     return first
   }
 
-  drainTo (receiver: (data: Buffer) => void): void {
-    for (const data of this.#waiting.splice(0)) receiver(data)
+  forwardTo (receiver: (data: Buffer) => void): void {
+    for (const data of this.#bufferedMessages.splice(0)) receiver(data)
     this.#receiver = receiver
   }
 
   #receive (data: Buffer): void {
     if (this.#receiver !== undefined) return this.#receiver(data)
-    this.#waiting.push(data)
-    this.#wake?.()
+    this.#bufferedMessages.push(data)
+    this.#notifyReader?.()
   }
 }
 
-async function receiveHello (inbox: SocketInbox): Promise<Hello> {
-  const hello = helloSchema.safeParse(decodeMessage(await inbox.readFirst()))
+async function receiveHello (bufferedSocket: BufferedSocket): Promise<Hello> {
+  const hello = helloSchema.safeParse(decodeMessage(await bufferedSocket.readFirstMessage()))
   if (!hello.success || hello.data.version !== PEER_PROTOCOL_VERSION) throw new LinkError('peer speaks another protocol version')
   return hello.data
 }
 
-async function exchangeHello (inbox: SocketInbox, self: Hello, handlers: LinkHandlers): Promise<PeerLink> {
+async function exchangeHello (bufferedSocket: BufferedSocket, self: Hello, handlers: LinkHandlers): Promise<PeerLink> {
   try {
-    inbox.socket.send(pack(self))
-    const peer = await receiveHello(inbox)
-    return new PeerLink(peer, inbox, handlers)
+    bufferedSocket.socket.send(pack(self))
+    const peer = await receiveHello(bufferedSocket)
+    return new PeerLink(peer, bufferedSocket, handlers)
   } catch (cause) {
-    inbox.socket.terminate()
+    bufferedSocket.socket.terminate()
     throw new LinkError('hello was not exchanged', { cause })
   }
 }
@@ -140,14 +140,14 @@
  */
 export async function openPeerLink (host: string, port: number, self: Hello, handlers: LinkHandlers): Promise<PeerLink> {
   const socket = new WebSocket(`ws://${host}:${port}`, { maxPayload: MAX_PEER_MESSAGE_BYTES, handshakeTimeout: HELLO_TIMEOUT_MS, perMessageDeflate: false })
-  const inbox = new SocketInbox(socket)
+  const bufferedSocket = new BufferedSocket(socket)
   try {
     await once(socket, 'open')
   } catch (cause) {
     socket.terminate()
     throw new LinkError(`no link to ${host}:${port}`, { cause })
   }
-  return await exchangeHello(inbox, self, handlers)
+  return await exchangeHello(bufferedSocket, self, handlers)
 }
 
 export interface PeerServer {
@@ -159,7 +159,7 @@
 export async function listenForPeers (host: string, port: number, self: Hello, handlers: LinkHandlers, onLink: (link: PeerLink) => void): Promise<PeerServer> {
   const server = new WebSocketServer({ host, port, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
   server.on('connection', socket => {
-    exchangeHello(new SocketInbox(socket), self, handlers).then(onLink, () => {})
+    exchangeHello(new BufferedSocket(socket), self, handlers).then(onLink, () => {})
   })
   await once(server, 'listening')
   const { port: boundPort } = server.address() as AddressInfo
--- a/packages/wire/src/peer/ws-peer-network.ts
+++ b/packages/wire/src/peer/ws-peer-network.ts
@@ -7,8 +7,8 @@
 import { PeerNetwork, type LinkLoss, type LossListener, type PeerHandler } from './peer-network.ts'
 
 /** Messages that wait for a link to open; later ones are dropped. */
-const MAX_WAITING_MESSAGES = 1_000
-const CHECK_INTERVAL_MS = 500
+const MAX_QUEUED_MESSAGES = 1_000
+const LINK_CHECK_INTERVAL_MS = 500
 
 export interface PeerAddress { host: string, port: number }
 
@@ -21,7 +21,7 @@
 }
 
 interface PendingLink {
-  waiting: Envelope[]
+  queuedEnvelopes: Envelope[]
 }
 
 /**
@@ -34,13 +34,13 @@
   override readonly self: Hello
   readonly #options: WsPeerNetworkOptions
   readonly #registry: LinkRegistry
-  readonly #pending = new Map<string, PendingLink>()
+  readonly #pendingLinks = new Map<string, PendingLink>()
   readonly #handlers = new Map<string, PeerHandler>()
   readonly #lossListeners: LossListener[] = []
   readonly #linkHandlers: LinkHandlers
   readonly #timer: NodeJS.Timeout
   #server: PeerServer | undefined
-  #stopped = false
+  #isStopped = false
 
   constructor (options: WsPeerNetworkOptions) {
     super()
@@ -49,9 +49,9 @@
     this.#registry = new LinkRegistry(options.clock)
     this.#linkHandlers = {
       onMessage: (link, envelope) => this.#receive(link, envelope),
-      onClose: link => this.#handleClose(link)
+      onClose: link => this.#handleLinkClose(link)
     }
-    this.#timer = setInterval(() => this.#registry.checkLinks(), CHECK_INTERVAL_MS)
+    this.#timer = setInterval(() => this.#registry.checkLinks(), LINK_CHECK_INTERVAL_MS)
     this.#timer.unref()
   }
 
@@ -73,7 +73,7 @@
     }
     const address = this.#options.findAddress(vm)
     if (address === undefined) {
-      this.#publishLoss(vm, 'unreachable')
+      this.#publishLinkLoss(vm, 'unreachable')
       return
     }
     this.#sendWhenOpen(vm, address, { slice, body })
@@ -101,50 +101,50 @@
   }
 
   async stop (): Promise<void> {
-    this.#stopped = true
+    this.#isStopped = true
     clearInterval(this.#timer)
     for (const link of this.#registry.listAllLinks()) link.terminate()
     await this.#server?.close()
   }
 
   #sendWhenOpen (key: string, address: PeerAddress, envelope: Envelope): void {
-    const pending = this.#pending.get(key)
+    const pending = this.#pendingLinks.get(key)
     if (pending !== undefined) {
-      if (pending.waiting.length < MAX_WAITING_MESSAGES) pending.waiting.push(envelope)
+      if (pending.queuedEnvelopes.length < MAX_QUEUED_MESSAGES) pending.queuedEnvelopes.push(envelope)
       return
     }
-    const created: PendingLink = { waiting: [envelope] }
-    this.#pending.set(key, created)
+    const newPendingLink: PendingLink = { queuedEnvelopes: [envelope] }
+    this.#pendingLinks.set(key, newPendingLink)
     openPeerLink(address.host, address.port, this.self, this.#linkHandlers).then(
-      link => this.#handleOpen(key, link, created),
-      error => this.#handleOpenFailure(key, error)
+      link => this.#handleLinkOpen(key, link, newPendingLink),
+      error => this.#handleLinkFailure(key, error)
     )
   }
 
-  #handleOpen (key: string, link: PeerLink, pending: PendingLink): void {
-    this.#pending.delete(key)
-    if (this.#stopped) {
+  #handleLinkOpen (key: string, link: PeerLink, pending: PendingLink): void {
+    this.#pendingLinks.delete(key)
+    if (this.#isStopped) {
       link.terminate()
       return
     }
     this.#registry.addLink(link)
-    for (const e of pending.waiting) this.#registry.send(link, e)
+    for (const e of pending.queuedEnvelopes) this.#registry.send(link, e)
   }
 
-  #handleOpenFailure (key: string, error: unknown): void {
-    this.#pending.delete(key)
-    if (this.#stopped) return
+  #handleLinkFailure (key: string, error: unknown): void {
+    this.#pendingLinks.delete(key)
+    if (this.#isStopped) return
     const reason = error instanceof LinkError ? error.message : String(error)
     this.#options.logger.debug('peer link not opened', { peer: key, reason })
-    this.#publishLoss(key, 'unreachable')
+    this.#publishLinkLoss(key, 'unreachable')
   }
 
-  #handleClose (link: PeerLink): void {
+  #handleLinkClose (link: PeerLink): void {
     this.#registry.removeLink(link)
-    if (!this.#stopped) this.#publishLoss(link.peer.vm, 'closed')
+    if (!this.#isStopped) this.#publishLinkLoss(link.peer.vm, 'closed')
   }
 
-  #publishLoss (vm: string, loss: LinkLoss): void {
+  #publishLinkLoss (vm: string, loss: LinkLoss): void {
     setImmediate(() => {
       for (const listener of this.#lossListeners) listener(vm, loss)
     })
--- a/packages/wire/src/platform/object-client.ts
+++ b/packages/wire/src/platform/object-client.ts
@@ -5,7 +5,7 @@
 
 const DEFAULT_TIMEOUT_MS = 2_000
 /** A watch may take this much longer than it waits, so that a slow service still brings changes. */
-const WATCH_GRACE_MS = 5_000
+const WATCH_TIMEOUT_MARGIN_MS = 5_000
 
 export interface ObjectClientOptions {
   /** Base address of the object service, such as `http://127.0.0.1:7000`. */
@@ -63,7 +63,7 @@
 
   async watchObjects (kinds: readonly ObjectKind[], since: number, waitMs: number, signal?: AbortSignal): Promise<WatchResult> {
     const path = `/v1/watch?kinds=${kinds.join(',')}&since=${since}&waitMs=${waitMs}`
-    return await this.#read(path, watchResultSchema, waitMs + WATCH_GRACE_MS, signal)
+    return await this.#read(path, watchResultSchema, waitMs + WATCH_TIMEOUT_MARGIN_MS, signal)
   }
 
   async listVms (): Promise<VmList> {
@@ -72,8 +72,8 @@
 
   async #read<S extends z.ZodType> (path: string, schema: S, timeoutMs = this.#timeoutMs, signal?: AbortSignal): Promise<z.output<S>> {
     try {
-      const limit = AbortSignal.timeout(timeoutMs)
-      const response = await fetch(this.#url + path, { signal: signal === undefined ? limit : AbortSignal.any([limit, signal]) })
+      const timeoutSignal = AbortSignal.timeout(timeoutMs)
+      const response = await fetch(this.#url + path, { signal: signal === undefined ? timeoutSignal : AbortSignal.any([timeoutSignal, signal]) })
       if (response.status === 404) throw new MissingObjectError(`${path}: not found`)
       if (response.status === 410) throw new ExpiredRevisionError(`${path}: revision too old`)
       if (!response.ok) throw new PlatformError(`${path}: status ${response.status}`)
--- a/packages/wire/src/policy/retry-budget.test.ts
+++ b/packages/wire/src/policy/retry-budget.test.ts
@@ -5,25 +5,25 @@
 const REQUESTS = 2_000
 
 /** Load at an endpoint that fails half of what reaches it, over the callers' load. */
-function measureLoad (canRetry: () => boolean, recordFirst: () => void, draws: Iterator<number>): number {
-  let sent = 0
+function measureAttemptsPerRequest (canRetry: () => boolean, recordFirstAttempt: () => void, draws: Iterator<number>): number {
+  let attemptCount = 0
   for (let i = 0; i < REQUESTS; i++) {
-    recordFirst()
+    recordFirstAttempt()
     for (let attempt = 0; ; attempt++) {
-      sent++
+      attemptCount++
       const isFailed = draws.next().value < 50
       if (!isFailed || attempt === 5 || !canRetry()) break
     }
   }
-  return sent / REQUESTS
+  return attemptCount / REQUESTS
 }
 
 describe('retry budget', () => {
   it('keeps the load at a failing endpoint under 1.2 times the callers\', where unbounded retries do not', () => {
     fc.assert(fc.property(fc.infiniteStream(fc.nat(99)), draws => {
       const budget = createRetryBudget()
-      expect(measureLoad(() => spendRetry(budget), () => recordRequest(budget), draws)).to.be.below(1.2)
-      expect(measureLoad(() => true, () => {}, draws)).to.be.above(1.5)
+      expect(measureAttemptsPerRequest(() => spendRetry(budget), () => recordRequest(budget), draws)).to.be.below(1.2)
+      expect(measureAttemptsPerRequest(() => true, () => {}, draws)).to.be.above(1.5)
     }), { numRuns: 50, seed: 7 })
   })
 })
--- a/packages/wire/src/policy/retry-budget.ts
+++ b/packages/wire/src/policy/retry-budget.ts
@@ -7,7 +7,7 @@
 }
 
 /** Retries allowed for each request, in the long run. */
-const RETRY_RATIO = 0.1
+const RETRIES_PER_REQUEST = 0.1
 const MAX_TOKENS = 10
 
 export function createRetryBudget (): RetryBudget {
@@ -16,7 +16,7 @@
 
 /** Counts a first attempt. */
 export function recordRequest (budget: RetryBudget): void {
-  budget.tokens = Math.min(MAX_TOKENS, budget.tokens + RETRY_RATIO)
+  budget.tokens = Math.min(MAX_TOKENS, budget.tokens + RETRIES_PER_REQUEST)
 }
 
 /** Takes the token for one retry; false when the budget is spent. */
--- a/packages/wire/src/policy/token-bucket.ts
+++ b/packages/wire/src/policy/token-bucket.ts
@@ -13,7 +13,7 @@
 }
 
 /** Rounding slack, in tokens. */
-const EPSILON = 1e-9
+const ROUNDING_TOLERANCE_TOKENS = 1e-9
 
 /** @example createBucket(0.1, 50, 1_000) // empty at 1,000 ms, full at 1,500 ms */
 export function createBucket (rate: number, burst: number, emptyAtMs: number): TokenBucket {
@@ -22,10 +22,10 @@
 
 /** Whole tokens that may be granted now; negative after the burst was lowered. */
 export function countAvailable (bucket: TokenBucket, nowMs: number): number {
-  return Math.floor(readLevel(bucket, nowMs) + EPSILON)
+  return Math.floor(computeLevel(bucket, nowMs) + ROUNDING_TOLERANCE_TOKENS)
 }
 
-function readLevel (bucket: TokenBucket, nowMs: number): number {
+function computeLevel (bucket: TokenBucket, nowMs: number): number {
   const debt = Math.max(0, bucket.fullAtMs - nowMs) * bucket.rate
   return bucket.burst - debt - bucket.reserved
 }
@@ -55,8 +55,8 @@
 
 /** Whole milliseconds until one token is available if all reserved tokens get spent; at least 1. */
 export function computeRetryAfterMs (bucket: TokenBucket, nowMs: number): number {
-  const missing = 1 - readLevel(bucket, nowMs)
-  return Math.max(1, Math.ceil(missing / bucket.rate))
+  const missingTokens = 1 - computeLevel(bucket, nowMs)
+  return Math.max(1, Math.ceil(missingTokens / bucket.rate))
 }
 
 /** True when nothing is owed, so that the bucket equals a fresh full one. */
--- a/packages/wire/src/process/bounded-output.test.ts
+++ b/packages/wire/src/process/bounded-output.test.ts
@@ -1,29 +1,29 @@
 import { expect } from 'chai'
 import { BoundedOutput, type WriteChunk } from './bounded-output.ts'
-import { createLineLimits, limitLines } from './line-limiter.ts'
+import { createLineLimiterState, limitLines } from './line-limiter.ts'
 
 const LINE = `${'x'.repeat(1_023)}\n`
 
 describe('bounded output', () => {
   it('never waits for a reader that has stopped, and tells later what it dropped', () => {
-    const taken: Buffer[] = []
-    const stuck: Array<() => void> = []
+    const writtenChunks: Buffer[] = []
+    const pendingWrites: Array<() => void> = []
     const writeChunk: WriteChunk = (chunk, done) => {
-      stuck.push(() => {
-        taken.push(chunk)
+      pendingWrites.push(() => {
+        writtenChunks.push(chunk)
         done(null, chunk.length)
       })
     }
     const output = new BoundedOutput(writeChunk)
     for (let i = 0; i < 5_000; i++) output.write(LINE)
     expect(output.writableLength).to.equal(0)
-    expect(output.dropped).to.be.greaterThan(3_000)
+    expect(output.droppedLineCount).to.be.greaterThan(3_000)
     for (let i = 0; i < 3; i++) {
-      stuck.shift()?.()
+      pendingWrites.shift()?.()
       output.write('next\n')
     }
-    for (let step = stuck.shift(); step !== undefined; step = stuck.shift()) step()
-    const text = Buffer.concat(taken).toString()
+    for (let completeWrite = pendingWrites.shift(); completeWrite !== undefined; completeWrite = pendingWrites.shift()) completeWrite()
+    const text = Buffer.concat(writtenChunks).toString()
     expect(text).to.match(/"log lines dropped","count":\d+/)
     expect(text.length).to.be.lessThan(2 * 1024 * 1024)
   }).timeout(10_000)
@@ -31,9 +31,9 @@
   it('writes on where the reader took a part', () => {
     let text = ''
     const output = new BoundedOutput((chunk, done) => {
-      const part = chunk.subarray(0, 3)
-      text += part.toString()
-      done(null, part.length)
+      const writtenChunk = chunk.subarray(0, 3)
+      text += writtenChunk.toString()
+      done(null, writtenChunk.length)
     })
     output.write('hello world\n')
     expect(text).to.equal('hello world\n')
@@ -43,11 +43,11 @@
 describe('line limiter', () => {
   it('limits lines of one message in a second and says how many it left out', () => {
     let nowMs = 0
-    const format = limitLines(createLineLimits(() => nowMs))
-    const count = (level: string): number => Array.from({ length: 300 }, () => format.transform({ level, message: 'placed' }, format.options)).filter(Boolean).length
-    expect(count('info')).to.equal(200)
+    const format = limitLines(createLineLimiterState(() => nowMs))
+    const countWrittenLines = (level: string): number => Array.from({ length: 300 }, () => format.transform({ level, message: 'placed' }, format.options)).filter(Boolean).length
+    expect(countWrittenLines('info')).to.equal(200)
     nowMs = 1_000
     expect(format.transform({ level: 'info', message: 'placed' }, format.options)).to.have.property('leftOut', 100)
-    expect(count('warn')).to.equal(300)
+    expect(countWrittenLines('warn')).to.equal(300)
   })
 })
--- a/packages/wire/src/process/command-line.test.ts
+++ b/packages/wire/src/process/command-line.test.ts
@@ -14,30 +14,30 @@
 
 describe('runCommandLine', () => {
   const { argv, exitCode } = process
-  const write = process.stderr.write
+  const originalStderrWrite = process.stderr.write
 
   afterEach(() => {
     process.argv = argv
     process.exitCode = exitCode
-    process.stderr.write = write
+    process.stderr.write = originalStderrWrite
   })
 
   it('prints a settings error without its stack and exits with 2', async () => {
-    const printed: string[] = []
+    const printedTexts: string[] = []
     process.argv = ['node', 'binary']
-    process.stderr.write = ((text: string) => printed.push(text) > 0) as typeof write
+    process.stderr.write = ((text: string) => printedTexts.push(text) > 0) as typeof originalStderrWrite
     await runCommandLine({ binaryName: 'binary', binaryLabel: 'binary', commands: [BadSettingsCommand] })
     expect(process.exitCode).to.equal(EXIT_BAD_SETTINGS)
-    expect(printed).to.deep.equal(['a.json: port: expected number\n'])
+    expect(printedTexts).to.deep.equal(['a.json: port: expected number\n'])
   })
 
   it('describes every command for --help', async () => {
-    const printed: string[] = []
-    const writeOut = process.stdout.write
+    const printedTexts: string[] = []
+    const originalStdoutWrite = process.stdout.write
     process.argv = ['node', 'binary', '--help']
-    process.stdout.write = ((text: string) => printed.push(text) > 0) as typeof writeOut
-    await runCommandLine({ binaryName: 'binary', binaryLabel: 'binary', commands: [BadSettingsCommand] }).finally(() => { process.stdout.write = writeOut })
+    process.stdout.write = ((text: string) => printedTexts.push(text) > 0) as typeof originalStdoutWrite
+    await runCommandLine({ binaryName: 'binary', binaryLabel: 'binary', commands: [BadSettingsCommand] }).finally(() => { process.stdout.write = originalStdoutWrite })
     expect(process.exitCode).to.equal(exitCode)
-    expect(printed.join('')).to.contain('binary')
+    expect(printedTexts.join('')).to.contain('binary')
   })
 })
--- a/packages/wire/src/process/command-line.ts
+++ b/packages/wire/src/process/command-line.ts
@@ -18,11 +18,11 @@
   for (const c of [Builtins.HelpCommand, Builtins.VersionCommand, ...commands]) cli.register(c)
   try {
     const command = cli.process(process.argv.slice(2), {})
-    let failure: unknown
+    let commandError: unknown
     // The library prints a command's error with its stack and exits with 1; it is reported here instead.
-    command.catch = async error => { failure = error }
+    command.catch = async error => { commandError = error }
     const code = await cli.run(command)
-    if (failure !== undefined) throw failure
+    if (commandError !== undefined) throw commandError
     if (code !== 0) process.exitCode = code
   } catch (error) {
     printFailure(cli, error)
--- a/packages/wire/src/process/line-limiter.ts
+++ b/packages/wire/src/process/line-limiter.ts
@@ -1,7 +1,7 @@
 import winston from 'winston'
 
 /** Lines of one message that are written in a second, at levels below `warn`. */
-const LINES_PER_SECOND = 200
+const MAX_LINES_PER_WINDOW = 200
 const WINDOW_MS = 1_000
 
 /**
@@ -10,24 +10,24 @@
  */
 export const limitLines = winston.format((info, options) => {
   if (info.level === 'warn' || info.level === 'error') return info
-  const { counts, readNow } = options as LineLimits
+  const { counts, readNow } = options as LineLimiterState
   const nowMs = readNow()
   const message = String(info.message)
-  const count = counts.get(message)
-  if (count === undefined || nowMs - count.sinceMs >= WINDOW_MS) {
-    counts.set(message, { sinceMs: nowMs, lines: 1 })
-    return count !== undefined && count.lines > LINES_PER_SECOND ? { ...info, leftOut: count.lines - LINES_PER_SECOND } : info
+  const window = counts.get(message)
+  if (window === undefined || nowMs - window.startedAtMs >= WINDOW_MS) {
+    counts.set(message, { startedAtMs: nowMs, lines: 1 })
+    return window !== undefined && window.lines > MAX_LINES_PER_WINDOW ? { ...info, leftOut: window.lines - MAX_LINES_PER_WINDOW } : info
   }
-  count.lines++
-  return count.lines > LINES_PER_SECOND ? false : info
+  window.lines++
+  return window.lines > MAX_LINES_PER_WINDOW ? false : info
 })
 
-interface LineLimits {
-  counts: Map<string, { sinceMs: number, lines: number }>
+interface LineLimiterState {
+  counts: Map<string, { startedAtMs: number, lines: number }>
   readNow: () => number
 }
 
 /** @example winston.format.combine(limitLines(createLineLimits()), winston.format.json()) */
-export function createLineLimits (readNow: () => number = () => performance.now()): LineLimits {
+export function createLineLimiterState (readNow: () => number = () => performance.now()): LineLimiterState {
   return { counts: new Map(), readNow }
 }
--- a/packages/wire/src/process/logger.ts
+++ b/packages/wire/src/process/logger.ts
@@ -1,6 +1,6 @@
 import winston from 'winston'
 import { BoundedOutput } from './bounded-output.ts'
-import { createLineLimits, limitLines } from './line-limiter.ts'
+import { createLineLimiterState, limitLines } from './line-limiter.ts'
 
 export type Logger = winston.Logger
 export const logLevelNames = ['error', 'warn', 'info', 'debug', 'silent'] as const
@@ -17,10 +17,10 @@
 /** All loggers of a process share its standard output. */
 function openOutput (): BoundedOutput {
   if (output !== undefined) return output
-  const opened = new BoundedOutput()
-  process.on('exit', () => opened.flushNow())
-  output = opened
-  return opened
+  const newOutput = new BoundedOutput()
+  process.on('exit', () => newOutput.flushSync())
+  output = newOutput
+  return newOutput
 }
 
 /** Creates a logger that writes one JSON object a line to standard output, bounded in volume and never waiting for the reader. */
@@ -30,7 +30,7 @@
     level: level === 'silent' ? 'error' : level,
     silent: level === 'silent',
     defaultMeta: { process: name },
-    format: winston.format.combine(limitLines(createLineLimits()), winston.format.timestamp(), winston.format.errors({ stack: true }), winston.format.json()),
+    format: winston.format.combine(limitLines(createLineLimiterState()), winston.format.timestamp(), winston.format.errors({ stack: true }), winston.format.json()),
     transports: [new winston.transports.Stream({ stream: openOutput() })]
   })
 }
--- a/packages/wire/src/process/shutdown.ts
+++ b/packages/wire/src/process/shutdown.ts
@@ -4,12 +4,12 @@
  * @example handleShutdown(async () => { await server.close() })
  */
 export function handleShutdown (stop: () => Promise<void>): void {
-  let stopping = false
-  const begin = () => {
-    if (stopping) return
-    stopping = true
+  let isStopping = false
+  const beginShutdown = () => {
+    if (isStopping) return
+    isStopping = true
     stop().then(() => process.exit(0), () => process.exit(1))
   }
-  process.on('SIGTERM', begin)
-  process.on('SIGINT', begin)
+  process.on('SIGTERM', beginShutdown)
+  process.on('SIGINT', beginShutdown)
 }
--- a/packages/wire/src/runtime/slice-actor.ts
+++ b/packages/wire/src/runtime/slice-actor.ts
@@ -23,7 +23,7 @@
 }
 
 /** Actors of one name may follow each other while the first still drains. */
-let spawned = 0
+let spawnCount = 0
 
 /**
  * Hosts a decision in an actor: messages are decided one by one, then their effects are run.
@@ -32,15 +32,15 @@
  */
 export function spawnSlice<State, Message, Effect> (options: SliceActorOptions<State, Message, Effect>): SliceActor<State, Message> {
   const { system, name, clock, logger, decide, runEffect } = options
-  let current = options.initialState
-  let stopped = false
+  let currentState = options.initialState
+  let isStopped = false
   const handleMessage = (state: State, message: Message): State => {
     const step = decide(state, message, clock.readNow())
-    current = step.state
+    currentState = step.state
     for (const e of step.effects) runEffect(e, tell)
     return step.state
   }
-  const actor: Ref<Message> = spawn(system, handleMessage, `${name}-${++spawned}`, {
+  const actor: Ref<Message> = spawn(system, handleMessage, `${name}-${++spawnCount}`, {
     initialState: options.initialState,
     onCrash: (message: unknown, error: unknown, context: { resume: symbol }) => {
       logger.error('slice failed', { slice: name, message, error: error instanceof Error ? error.stack : String(error) })
@@ -48,13 +48,13 @@
     }
   } as never) as Ref<Message>
   function tell (message: Message): void {
-    if (!stopped) dispatch(actor, message)
+    if (!isStopped) dispatch(actor, message)
   }
   return {
     tell,
-    readState: () => current,
+    readState: () => currentState,
     stop: () => {
-      stopped = true
+      isStopped = true
       stop(actor)
     }
   }
