--- a/packages/wire/src/database/position.test.ts
+++ b/packages/wire/src/database/position.test.ts
@@ -9,12 +9,12 @@
     expect(hasReached({ term: 2, index: 7 }, starts, { term: 2, index: 8 })).to.equal(false)
   })
 
-  it('keeps an entry of an older term only before the newer term began', () => {
+  it('finds an entry of an older term in the log only if its index is below the start of the newer term', () => {
     expect(hasReached({ term: 2, index: 7 }, starts, { term: 1, index: 4 })).to.equal(true)
     expect(hasReached({ term: 2, index: 7 }, starts, { term: 1, index: 5 })).to.equal(false)
   })
 
-  it('refuses an older log however long it is', () => {
+  it('finds no entry of a newer term in a log of an older term, however long that log is', () => {
     expect(hasReached({ term: 1, index: 90 }, [[1, 1]], { term: 2, index: 7 })).to.equal(false)
   })
 })
--- a/packages/wire/src/errors/base.ts
+++ b/packages/wire/src/errors/base.ts
@@ -1,9 +1,13 @@
 import ModernError from 'modern-errors'
 
-/** Root of all errors of this project. Each layer derives its own and wraps those from below as `cause`. */
+/** Base of all errors of this project. Each layer derives its own, with the error of the layer below as `cause`. */
 export const BaseError = ModernError.subclass('BaseError')
 
-/** The reason that an error gives, for logs and answers. @example describeError(new Error('gone')) // 'gone' */
+/**
+ * Returns an error's message, for logs and responses.
+ *
+ * @example describeError(new Error('connection lost')) // 'connection lost'
+ */
 export function describeError (error: unknown): string {
   return error instanceof Error ? error.message : String(error)
 }
@@ -11,7 +15,7 @@
 export const SettingsError = BaseError.subclass('SettingsError')
 export const LinkError = BaseError.subclass('LinkError')
 export const PlatformError = BaseError.subclass('PlatformError')
-/** The object changed since it was read. */
+/** The object has changed since it was read. */
 export const ConflictError = PlatformError.subclass('ConflictError')
-/** The call's answer was lost: it may have taken effect. */
+/** The response to a call was lost; the call may have taken effect. */
 export const UnknownOutcomeError = PlatformError.subclass('UnknownOutcomeError')
--- a/packages/wire/src/errors/refusal.ts
+++ b/packages/wire/src/errors/refusal.ts
@@ -1,21 +1,21 @@
 import { z } from 'zod'
 
-/** Error numbers that callers see. Each states whether the statement ran. */
+/** Error numbers that clients receive. Each states whether the statement was run. */
 export const RefusalCode = {
-  /** Not run; the same statement may be sent again after `retryAfterMs`. */
+  /** Not run; the same statement can be retried after `retryAfterMs`. */
   notRunRetry: 5101,
-  /** Not run, and will not be: the contract, the key or the statement forbids it. */
+  /** Not run, and a retry will be refused too: the contract, the key or the statement itself does not allow it. */
   notRunDenied: 5102,
-  /** May have run, entirely or not at all. */
+  /** Either run completely, or not at all; it is not known which. */
   outcomeUnknown: 5103,
-  /** Not committed: the transaction is gone and left nothing behind. */
+  /** Not committed: the transaction was lost, and none of its changes are kept. */
   transactionLost: 5104
 } as const
 
 export const refusalSchema = z.object({
   kind: z.enum(['notRunRetry', 'notRunDenied', 'outcomeUnknown', 'transactionLost']),
   reason: z.string(),
-  /** Milliseconds after which a repeat is worthwhile. */
+  /** Milliseconds after which a retry may succeed. */
   retryAfterMs: z.number().nonnegative().optional()
 })
 export type Refusal = z.infer<typeof refusalSchema>
@@ -28,7 +28,7 @@
 }
 
 /**
- * The message that goes to the caller, in ASCII.
+ * Formats the error message that the client receives, in ASCII.
  *
  * @example formatRefusal({ kind: 'notRunRetry', reason: 'rate', retryAfterMs: 120 })
  * // 'camphorpitch: not run: rate; retry after 120 ms'
@@ -39,7 +39,7 @@
   return text.replace(/\s*\n\s*/g, ': ').replace(/[^\x20-\x7e]/g, '?')
 }
 
-/** Reads `retryAfterMs` back from a caller's error message; `null` when it names none. */
+/** Parses `retryAfterMs` from an error message that `formatRefusal` formatted; returns `null` if the message has none. */
 export function parseRetryAfterMs (message: string): number | null {
   const match = /retry after (\d+) ms/.exec(message)
   return match === null ? null : Number(match[1])
--- a/packages/wire/src/peer/envelope.ts
+++ b/packages/wire/src/peer/envelope.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Version of the protocol between VMs; peers of another version refuse the link. */
+/** Version of the protocol between VMs; a VM refuses links to peers of another version. */
 export const PEER_PROTOCOL_VERSION = 1
 /** Largest message between VMs, in bytes. */
 export const MAX_PEER_MESSAGE_BYTES = 32 * 1024 * 1024
@@ -9,15 +9,15 @@
 export const helloSchema = z.object({
   version: z.number().int(),
   vm: z.string(),
-  /** Grows with each start of the VM's process; milliseconds since the epoch at its start. */
+  /** Start time of the VM's process, in milliseconds since the epoch; increases with each start. */
   incarnation: z.number().int(),
   failureDomain: z.string()
 })
 export type Hello = z.infer<typeof helloSchema>
 
-/** What one slice says to its peer: `body` is checked by the slice that it goes to. */
+/** A message from a slice to the same slice of another VM; the receiving slice validates `body`. */
 export const envelopeSchema = z.object({ slice: z.string(), body: z.unknown() })
 export type Envelope = z.infer<typeof envelopeSchema>
 
-/** Every later message of a link: what was sent in one turn of the event loop, in order. */
+/** Every message of a link after the hello: the envelopes sent in one turn of the event loop, in order. */
 export const messageSchema = z.array(envelopeSchema)
--- a/packages/wire/src/peer/link-registry.ts
+++ b/packages/wire/src/peer/link-registry.ts
@@ -2,22 +2,22 @@
 import type { Envelope } from './envelope.ts'
 import type { PeerLink } from './link.ts'
 
-/** Silence after a send before the peer is pinged. */
+/** Time without anything received after a send, after which the peer is pinged. */
 const PING_DELAY_MS = 1_000
-/** Silence after a send before the link is held for broken. */
+/** Time without anything received after a send, after which the link is considered broken. */
 const RESPONSE_TIMEOUT_MS = 3_000
-/** Links unused for this long are closed; above the longest statement timeout. */
+/** Links that are unused for this long are closed. It is above the maximum statement timeout. */
 const IDLE_LINK_TIMEOUT_MS = 900_000
 
 interface LinkActivity {
   link: PeerLink
   lastReceivedAtMs: number
   lastUsedAtMs: number
-  /** When the oldest send that nothing has followed from the peer was made; `null` for none. */
+  /** Time of the oldest send since which nothing was received from the peer; `null` if there is none. */
   unansweredSinceMs: number | null
 }
 
-/** The open links, their activity and liveness. */
+/** The open links to peers. Tracks when each was last used, and detects broken ones. */
 export class LinkRegistry {
   readonly #clock: Clock
   readonly #links = new Map<string, LinkActivity[]>()
@@ -41,7 +41,7 @@
     else this.#links.delete(link.peer.vm)
   }
 
-  /** The link in use to a VM: the oldest open one. */
+  /** Returns the link to use for a VM: the oldest open one. */
   findLink (vm: string): PeerLink | undefined {
     return this.#links.get(vm)?.find(a => a.link.isOpen)?.link
   }
@@ -58,7 +58,7 @@
     return this.listAllLinks().length
   }
 
-  /** Sends, or cuts a link whose peer reads too slowly to keep up. */
+  /** Sends an envelope, or terminates the link if the peer reads too slowly, so that the send buffer is full. */
   send (link: PeerLink, envelope: Envelope): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
@@ -68,6 +68,7 @@
     if (!link.send(envelope)) link.terminate()
   }
 
+  /** Records that something was received on the link, which shows that the peer is reachable. */
   recordReceived (link: PeerLink): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
@@ -76,7 +77,7 @@
     activity.unansweredSinceMs = null
   }
 
-  /** Pings silent links and cuts broken and unused ones. */
+  /** Pings peers that have not responded to a send, terminates broken links and closes unused ones. */
   checkLinks (): void {
     const nowMs = this.#clock.readNow()
     for (const activity of [...this.#links.values()].flat()) checkLink(activity, nowMs)
--- a/packages/wire/src/peer/link.ts
+++ b/packages/wire/src/peer/link.ts
@@ -5,7 +5,7 @@
 import { LinkError } from '../errors/base.ts'
 import { helloSchema, messageSchema, MAX_PEER_MESSAGE_BYTES, PEER_PROTOCOL_VERSION, type Envelope, type Hello } from './envelope.ts'
 
-/** Bytes that may wait in a link's send buffer before best-effort messages are dropped. */
+/** Maximum number of bytes in a link's send buffer; above it, messages are not sent, as delivery is best effort. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 const HELLO_TIMEOUT_MS = 2_000
 
@@ -14,7 +14,7 @@
   onClose: (link: PeerLink) => void
 }
 
-/** One open WebSocket to a peer, after both sides have said hello. */
+/** An open WebSocket to a peer, after both sides have exchanged their hello messages. */
 export class PeerLink {
   readonly peer: Hello
   readonly #socket: WebSocket
@@ -24,7 +24,7 @@
     this.peer = peer
     this.#socket = bufferedSocket.socket
     bufferedSocket.socket.on('close', () => handlers.onClose(this))
-    // Not at once: the creator registers the link first.
+    // Deferred, so that the caller can register the link before the first message is delivered.
     setImmediate(() => bufferedSocket.forwardTo(data => this.#receive(data, handlers)))
   }
 
@@ -32,7 +32,7 @@
     return this.#socket.readyState === WebSocket.OPEN
   }
 
-  /** Sends if the link is open and not overfull; tells whether it was handed to the socket. */
+  /** Queues an envelope for sending; returns false if the link is not open or its send buffer is full. */
   send (envelope: Envelope): boolean {
     if (!this.isOpen || this.#socket.bufferedAmount > MAX_BUFFERED_BYTES) return false
     this.#queuedEnvelopes.push(envelope)
@@ -40,7 +40,7 @@
     return true
   }
 
-  /** Sends everything of one turn of the event loop as one message. */
+  /** Sends all envelopes that were queued in this turn of the event loop as one message. */
   #flush (): void {
     const envelopes = this.#queuedEnvelopes.splice(0)
     if (this.isOpen) this.#socket.send(pack(envelopes))
@@ -80,7 +80,7 @@
   }
 }
 
-/** Keeps what arrives on a socket until somebody takes it, so that nothing is lost around the hello. */
+/** Buffers the messages that arrive on a socket until a receiver is set, so that none is lost during the exchange of hello messages. */
 class BufferedSocket {
   readonly socket: WebSocket
   readonly #bufferedMessages: Buffer[] = []
@@ -94,16 +94,21 @@
     socket.on('error', () => socket.terminate())
   }
 
-  /** @throws LinkError when the socket closes or nothing comes in time */
+  /**
+   * Waits for the first message.
+   *
+   * @throws LinkError when the socket closes first, or after `HELLO_TIMEOUT_MS`
+   */
   async readFirstMessage (): Promise<Buffer> {
     const timer = setTimeout(() => this.socket.terminate(), HELLO_TIMEOUT_MS)
     if (this.#bufferedMessages.length === 0) await new Promise<void>(resolve => { this.#notifyReader = resolve })
     clearTimeout(timer)
     const first = this.#bufferedMessages.shift()
-    if (first === undefined) throw new LinkError('closed before hello')
+    if (first === undefined) throw new LinkError('peer link closed before the peer\'s hello message arrived')
     return first
   }
 
+  /** Passes all buffered messages to `receiver`, and every later one as it arrives. */
   forwardTo (receiver: (data: Buffer) => void): void {
     for (const data of this.#bufferedMessages.splice(0)) receiver(data)
     this.#receiver = receiver
@@ -118,7 +123,7 @@
 
 async function receiveHello (bufferedSocket: BufferedSocket): Promise<Hello> {
   const hello = helloSchema.safeParse(decodeMessage(await bufferedSocket.readFirstMessage()))
-  if (!hello.success || hello.data.version !== PEER_PROTOCOL_VERSION) throw new LinkError('peer speaks another protocol version')
+  if (!hello.success || hello.data.version !== PEER_PROTOCOL_VERSION) throw new LinkError('peer sent a malformed hello message, or one of another protocol version')
   return hello.data
 }
 
@@ -129,14 +134,15 @@
     return new PeerLink(peer, bufferedSocket, handlers)
   } catch (cause) {
     bufferedSocket.socket.terminate()
-    throw new LinkError('hello was not exchanged', { cause })
+    throw new LinkError('exchange of hello messages with the peer failed', { cause })
   }
 }
 
 /**
- * Opens a link to a peer.
+ * Opens a link to a peer and exchanges hello messages.
  *
- * @throws LinkError when the peer cannot be reached or speaks another version
+ * @param self the hello message of this VM
+ * @throws LinkError when the peer cannot be reached, or has another protocol version
  */
 export async function openPeerLink (host: string, port: number, self: Hello, handlers: LinkHandlers): Promise<PeerLink> {
   const socket = new WebSocket(`ws://${host}:${port}`, { maxPayload: MAX_PEER_MESSAGE_BYTES, handshakeTimeout: HELLO_TIMEOUT_MS, perMessageDeflate: false })
@@ -145,7 +151,7 @@
     await once(socket, 'open')
   } catch (cause) {
     socket.terminate()
-    throw new LinkError(`no link to ${host}:${port}`, { cause })
+    throw new LinkError(`cannot connect to the peer at ${host}:${port}`, { cause })
   }
   return await exchangeHello(bufferedSocket, self, handlers)
 }
@@ -155,7 +161,7 @@
   close: () => Promise<void>
 }
 
-/** Accepts links from peers; `onLink` receives each one after hello. */
+/** Accepts links from peers; `onLink` is called with each one after the exchange of hello messages. */
 export async function listenForPeers (host: string, port: number, self: Hello, handlers: LinkHandlers, onLink: (link: PeerLink) => void): Promise<PeerServer> {
   const server = new WebSocketServer({ host, port, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
   server.on('connection', socket => {
--- a/packages/wire/src/peer/statement-messages.ts
+++ b/packages/wire/src/peer/statement-messages.ts
@@ -2,28 +2,28 @@
 import { logPositionSchema } from '../database/position.ts'
 import { refusalSchema } from '../errors/refusal.ts'
 
-/** How a statement is treated; only surely plain reads are `read`. */
+/** How a statement is handled. Only statements that certainly do nothing but read are `read`. */
 export const statementClassSchema = z.enum(['read', 'write', 'begin', 'commit', 'rollback'])
 export type StatementClass = z.infer<typeof statementClassSchema>
 
-/** A statement as an entry VM hands it to a VM that serves the database. */
+/** A statement that an entry VM sends to a VM that serves the database. */
 export const statementRequestSchema = z.object({
-  /** Unique over the fleet: entry VM, its incarnation and a counter. */
+  /** Unique in the fleet; consists of the entry VM, its incarnation and a counter. */
   requestId: z.string(),
   sessionId: z.string(),
   workspace: z.string(),
   database: z.string(),
   text: z.string(),
   class: statementClassSchema,
-  /** Position the answer must include; `null` asks for all that was acknowledged before now. */
+  /** Position that the read data must include; `null` requires all writes that were acknowledged before the request. */
   required: logPositionSchema.nullable(),
-  /** Accepted age of a read, in milliseconds; 0 for none. */
+  /** Maximum age of the data that a read accepts, in milliseconds; 0 accepts no stale data. */
   maxAgeMs: z.number().nonnegative(),
-  /** Time left, in milliseconds, when the request was sent. */
+  /** Time until the statement's deadline when the request was sent, in milliseconds. */
   timeoutMs: z.number().positive(),
-  /** Set inside a transaction: names the pinned connection. */
+  /** Transaction that the statement belongs to, which identifies its pinned connection; `null` outside a transaction. */
   transactionId: z.string().nullable(),
-  /** The caller's name for this write, recorded with it; `null` for none. */
+  /** Id that the client gave this write, stored together with it; `null` for none. */
   writeId: z.string().nullable()
 })
 export type StatementRequest = z.infer<typeof statementRequestSchema>
@@ -43,12 +43,12 @@
 })
 export type Column = z.infer<typeof columnSchema>
 
-/** A cell as the endpoint sent it: the bytes of its text form, or NULL. */
+/** A cell as the endpoint sent it: the bytes of its text format, or `null` for NULL. */
 export type Cell = Uint8Array | null
 
 /**
- * One part of an answer. A result set is `columns`, any number of `rows`, then `end`; anything else
- * is `ok` or `refused` or `failed`. `position` may follow `end` and closes the stream for reads.
+ * One part of the response to a statement. A result set consists of `columns`, any number of `rows`, then `end`; any
+ * other response is one of the remaining kinds. For reads, `position` may follow `end` as the last frame.
  */
 export const answerFrameSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('columns'), columns: z.array(columnSchema) }),
@@ -63,13 +63,13 @@
     /** The transaction that is open after this statement. */
     transactionId: z.string().nullable()
   }),
-  /** An upper bound of what the read saw, sent after `end`. */
+  /** Upper bound of the log entries that the read has seen, sent after `end`. */
   z.object({ kind: z.literal('position'), position: logPositionSchema }),
-  /** The system's own refusal. */
+  /** Refused by the proxy itself. */
   z.object({ kind: z.literal('refused'), refusal: refusalSchema }),
-  /** The endpoint's error, passed on. */
+  /** The endpoint's error, unchanged. */
   z.object({ kind: z.literal('failed'), errno: z.number(), sqlState: z.string(), message: z.string() }),
-  /** Not run: the VM that was asked does not serve the database; another one may. */
+  /** Not run: the receiving VM does not serve the database; another VM may serve it. */
   z.object({ kind: z.literal('notServing') })
 ])
 export type AnswerFrame = z.infer<typeof answerFrameSchema>
@@ -77,12 +77,12 @@
 /** Messages of the `statements` slice between an entry VM and a serving VM. */
 export const statementMessageSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('run'), stream: z.number().int(), request: statementRequestSchema }),
-  /** `frame` is `null` where the last message only ends the stream. */
+  /** `frame` is `null` if the last message only ends the stream. */
   z.object({ type: z.literal('frame'), stream: z.number().int(), frame: answerFrameSchema.nullable(), last: z.boolean() }),
-  /** The receiver has consumed `frames` more frames. */
+  /** Flow control: the receiver has consumed `frames` more frames. */
   z.object({ type: z.literal('credit'), stream: z.number().int(), frames: z.number().int().positive() }),
   z.object({ type: z.literal('cancel'), stream: z.number().int() }),
-  /** Rolls back a transaction whose caller has gone. */
+  /** Rolls back a transaction whose client has disconnected. */
   z.object({ type: z.literal('abandon'), database: z.string(), transactionId: z.string() })
 ])
 export type StatementMessage = z.infer<typeof statementMessageSchema>
--- a/packages/wire/src/peer/ws-peer-network.ts
+++ b/packages/wire/src/peer/ws-peer-network.ts
@@ -6,7 +6,7 @@
 import { LinkRegistry } from './link-registry.ts'
 import { PeerNetwork, type LinkLoss, type LossListener, type PeerHandler } from './peer-network.ts'
 
-/** Messages that wait for a link to open; later ones are dropped. */
+/** Maximum number of messages that are queued until a link is open; further ones are dropped. */
 const MAX_QUEUED_MESSAGES = 1_000
 const LINK_CHECK_INTERVAL_MS = 500
 
@@ -16,7 +16,7 @@
   self: Hello
   clock: Clock
   logger: Logger
-  /** Finds the address of a VM by name; `undefined` for an unknown one. */
+  /** Finds the address of a VM by name; returns `undefined` for an unknown VM. */
   findAddress: (vm: string) => PeerAddress | undefined
 }
 
@@ -25,10 +25,10 @@
 }
 
 /**
- * Links between VMs over WebSockets, opened when first needed.
+ * Sends messages between VMs over WebSockets, which are opened when first needed.
  *
- * All messages to one VM take the same link while it lives, so they keep their order. A link on
- * which something was sent and nothing came back is pinged, then cut; see `LinkRegistry`.
+ * All messages to one VM use the same link while it is open, so they stay in order. If nothing is received after a
+ * send, the peer is pinged, and then the link is terminated; see `LinkRegistry`.
  */
 export class WsPeerNetwork extends PeerNetwork {
   override readonly self: Hello
@@ -55,7 +55,11 @@
     this.#timer.unref()
   }
 
-  /** Accepts links. @returns the bound port */
+  /**
+   * Starts to accept links from peers.
+   *
+   * @returns the bound port
+   */
   async listen (host: string, port: number): Promise<number> {
     this.#server = await listenForPeers(host, port, this.self, this.#linkHandlers, link => this.#registry.addLink(link))
     return this.#server.port
@@ -91,7 +95,7 @@
     this.#lossListeners.push(listener)
   }
 
-  /** Cuts every link to a VM that membership holds for dead. */
+  /** Terminates every link to a VM, for a VM that is considered dead. */
   closeLinks (vm: string): void {
     for (const link of this.#registry.listLinks(vm)) link.terminate()
   }
@@ -135,7 +139,7 @@
     this.#pendingLinks.delete(key)
     if (this.#isStopped) return
     const reason = error instanceof LinkError ? error.message : String(error)
-    this.#options.logger.debug('peer link not opened', { peer: key, reason })
+    this.#options.logger.debug('peer link attempt failed', { peer: key, reason })
     this.#publishLinkLoss(key, 'unreachable')
   }
 
@@ -158,7 +162,7 @@
   #deliver (from: Hello, envelope: Envelope): void {
     const handler = this.#handlers.get(envelope.slice)
     if (handler === undefined) {
-      this.#options.logger.warn('message for an unknown slice', { from: from.vm, slice: envelope.slice })
+      this.#options.logger.warn('peer message for an unknown slice dropped', { from: from.vm, slice: envelope.slice })
       return
     }
     handler(from, envelope.body)
--- a/packages/wire/src/platform/api.ts
+++ b/packages/wire/src/platform/api.ts
@@ -4,24 +4,25 @@
 /**
  * The object service's protocol: JSON over HTTP.
  *
- * - `GET /v1/objects/:kind` answers `ObjectList`
- * - `GET /v1/objects/:kind/:name` answers `StoredObject`, or 404
- * - `PUT /v1/objects/:kind/:name` with `If-Match: <version>` (0 creates) answers `StoredObject`, or 409
- * - `DELETE /v1/objects/:kind/:name` with `If-Match: <version>` answers `{ revision }`, or 409
- * - `GET /v1/watch?kinds=a,b&since=<revision>&waitMs=<n>` answers `WatchResult` as soon as there is a change,
- *   or 410 when the log of changes does not reach back to `since`
- * - `GET /v1/vms` answers `VmList`, which lags
+ * - `GET /v1/objects/:kind` returns `ObjectList`
+ * - `GET /v1/objects/:kind/:name` returns `StoredObject`, or 404
+ * - `PUT /v1/objects/:kind/:name` with `If-Match: <version>` (0 creates the object) returns `StoredObject`, or 409
+ * - `DELETE /v1/objects/:kind/:name` with `If-Match: <version>` returns `{ revision }`, or 409
+ * - `GET /v1/watch?kinds=a,b&since=<revision>&waitMs=<n>` returns `WatchResult` as soon as there is a change,
+ *   or 410 when the service's log of changes does not reach back to `since`
+ * - `GET /v1/vms` returns `VmList`, which may be out of date
  *
- * 429 means over the rate, 503 means unavailable. The revision grows with each change of any object.
+ * 429 means that the request rate is exceeded, 503 that the service is unavailable. The revision increases with each
+ * change of any object.
  */
 export const storedObjectSchema = z.object({
   kind: z.string(),
   name: z.string(),
-  /** Grows with each change of this object. */
+  /** Increases with each change of this object. */
   version: z.number().int().positive(),
-  /** Revision of the whole store at this object's last change. */
+  /** Revision of the object service after this object's last change. */
   revision: z.number().int().positive(),
-  /** `null` once deleted; only a watch shows that. */
+  /** `null` for a deleted object, which only a watch returns. */
   value: z.unknown()
 })
 export type StoredObject = z.infer<typeof storedObjectSchema>
--- a/packages/wire/src/platform/key-digest.ts
+++ b/packages/wire/src/platform/key-digest.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 
 /**
- * What is stored of a key: hexadecimal SHA1(SHA1(key)), as `mysql_native_password` stores it.
+ * Computes the digest that is stored instead of a key: hexadecimal SHA1(SHA1(key)), as `mysql_native_password` stores it.
  *
  * @example computeKeyDigest('secret') // '14e65567abdb5135d0cfd9a70b3032c179a49ee7'
  */
--- a/packages/wire/src/platform/objects.ts
+++ b/packages/wire/src/platform/objects.ts
@@ -14,20 +14,20 @@
 
 export const databaseAccessSchema = z.strictObject({
   access: z.enum(['read', 'read-write']).default('read-write'),
-  /** Oldest data, in milliseconds, that reads accept when the caller states no age; 0 is read-your-writes. */
+  /** Maximum age of the data that reads accept when the client states none, in milliseconds; 0 means read-your-writes. */
   defaultMaxAgeMs: z.number().int().nonnegative().default(0)
 })
 
-/** The one document from which every limit, key and route of a workspace follows. Object kind `contract`. */
+/** The document that defines all limits and routes of a workspace, and whether clients need a key. Object kind `contract`. */
 export const contractSchema = z.strictObject({
   workspace: nameSchema,
   rate: rateSchema,
-  /** An open contract needs no key: anybody may use its routes. */
+  /** An open contract requires no key: any client may use its databases. */
   open: z.boolean().default(false),
   databases: z.record(nameSchema, databaseAccessSchema),
-  /** Longest time a statement may take, in milliseconds, waiting included. */
+  /** Timeout of a statement, in milliseconds, including the time that it waits. */
   statementTimeoutMs: z.number().int().min(10).max(600_000).default(10_000),
-  /** Concurrent connections from callers, over each VM. */
+  /** Maximum number of concurrent client connections to each VM. */
   maxConnectionsPerVm: z.number().int().positive().max(100_000).default(1_000)
 })
 export type Contract = z.infer<typeof contractSchema>
@@ -51,11 +51,11 @@
   port: portSchema,
   failureDomain: nameSchema,
   region: nameSchema.default('default'),
-  /** Connections the instance accepts from the whole fleet. */
+  /** Maximum number of connections that the instance accepts from the whole fleet. */
   maxConnections: z.number().int().min(3).max(10_000).default(20),
-  /** Statements the instance runs at once. */
+  /** Number of statements that the instance runs concurrently. */
   slots: z.number().int().positive().max(1_000).default(3),
-  /** A leaving instance gets no new work, and gives up being primary, but counts for quorums until it is removed. */
+  /** A leaving instance gets no new statements and is replaced as primary, but counts for quorums until it is removed. */
   state: z.enum(['live', 'leaving']).optional()
 })
 export type Endpoint = z.infer<typeof endpointSchema>
@@ -64,7 +64,7 @@
 export const databaseSchema = z.strictObject({
   database: nameSchema,
   endpoints: z.array(endpointSchema).min(1).max(9),
-  /** The system's own credentials at the endpoints. */
+  /** Credentials with which the proxy connects to the endpoints. */
   user: z.string().default('camphorpitch'),
   password: z.string().default('')
 })
@@ -72,29 +72,29 @@
 
 /** Secrets of the fleet. Object kind `fleet-secret`, name `session`. */
 export const fleetSecretSchema = z.strictObject({
-  /** Hexadecimal keys of HMAC-SHA256 for session tokens; the first signs, all verify. */
+  /** HMAC-SHA256 keys for session tokens, in hexadecimal. The first one signs; any of them verifies. */
   sessionKeys: z.array(z.string().regex(/^[0-9a-f]{64}$/)).min(1)
 })
 export type FleetSecret = z.infer<typeof fleetSecretSchema>
 
-/** Which VM counts each share of the fleet's limits. Object kind `limit-owners`, name `owners`. */
+/** The VM that owns each share of the fleet's limits, and counts its use. Object kind `limit-owners`, name `owners`. */
 export const limitOwnersSchema = z.strictObject({
-  /** Share name to VM and the number of times that the share has changed hands. */
+  /** Owner of each share, by share name; `epoch` is the number of times that the owner has changed. */
   shares: z.record(z.string(), z.strictObject({
     vm: nameSchema,
     incarnation: z.number().int(),
     epoch: z.number().int(),
-    /** The previous owner had stopped for good before it wrote this. */
+    /** Whether the previous owner, if any, had permanently stopped counting the share before this entry was written. */
     released: z.boolean().default(false)
   })),
-  /** VMs of which a majority must confirm an owner's lease. */
+  /** VMs, of which a majority must confirm an owner's lease. */
   witnesses: z.array(nameSchema).default([]),
-  /** `witnesses` of the version before; a majority must know this version before it is acted on or replaced. */
+  /** `witnesses` of the previous version; a majority of them must know this version before it is used or replaced. */
   previousWitnesses: z.array(nameSchema).default([])
 })
 export type LimitOwners = z.infer<typeof limitOwnersSchema>
 
-/** Every object kind that the system keeps in the platform's object service. */
+/** Schemas of all object kinds that the system stores in the platform's object service. */
 export const objectSchemas = {
   contract: contractSchema,
   'key-ring': keyRingSchema,
--- a/packages/wire/src/policy/rendezvous-hash.ts
+++ b/packages/wire/src/policy/rendezvous-hash.ts
@@ -1,7 +1,7 @@
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
-/** 32-bit FNV-1a over the string's UTF-16 code units, finalized so that similar names spread. */
+/** Hashes a name with 32-bit FNV-1a over its UTF-16 code units, then with a finalizer that distributes similar names evenly. */
 export function hashName (name: string): number {
   let hash = FNV_OFFSET
   for (let i = 0; i < name.length; i++) {
@@ -11,7 +11,7 @@
 }
 
 /**
- * Weight of a node for a key in rendezvous hashing (Thaler and Ravishankar, 1998), from both hashes.
+ * Computes the weight of a node for a key in rendezvous hashing (Thaler and Ravishankar, 1998), from the hashes of both.
  *
  * @example hashPair(hashName('orders'), hashName('vm-1')) // an unsigned 32-bit integer
  */
--- a/packages/wire/src/policy/retry-budget.test.ts
+++ b/packages/wire/src/policy/retry-budget.test.ts
@@ -4,7 +4,7 @@
 
 const REQUESTS = 2_000
 
-/** Load at an endpoint that fails half of what reaches it, over the callers' load. */
+/** Measures the number of attempts per request at an endpoint that fails half of the attempts. */
 function measureAttemptsPerRequest (canRetry: () => boolean, recordFirstAttempt: () => void, draws: Iterator<number>): number {
   let attemptCount = 0
   for (let i = 0; i < REQUESTS; i++) {
@@ -19,7 +19,7 @@
 }
 
 describe('retry budget', () => {
-  it('keeps the load at a failing endpoint under 1.2 times the callers\', where unbounded retries do not', () => {
+  it('keeps the load on a failing endpoint below 1.2 attempts per request, whereas unlimited retries exceed 1.5', () => {
     fc.assert(fc.property(fc.infiniteStream(fc.nat(99)), draws => {
       const budget = createRetryBudget()
       expect(measureAttemptsPerRequest(() => spendRetry(budget), () => recordRequest(budget), draws)).to.be.below(1.2)
--- a/packages/wire/src/process/bounded-output.test.ts
+++ b/packages/wire/src/process/bounded-output.test.ts
@@ -5,7 +5,7 @@
 const LINE = `${'x'.repeat(1_023)}\n`
 
 describe('bounded output', () => {
-  it('never waits for a reader that has stopped, and tells later what it dropped', () => {
+  it('does not block when the reader of the output stops, and reports the dropped lines when it reads again', () => {
     const writtenChunks: Buffer[] = []
     const pendingWrites: Array<() => void> = []
     const writeChunk: WriteChunk = (chunk, done) => {
@@ -28,7 +28,7 @@
     expect(text.length).to.be.lessThan(2 * 1024 * 1024)
   }).timeout(10_000)
 
-  it('writes on where the reader took a part', () => {
+  it('writes the rest of a chunk after a partial write', () => {
     let text = ''
     const output = new BoundedOutput((chunk, done) => {
       const writtenChunk = chunk.subarray(0, 3)
@@ -41,7 +41,7 @@
 })
 
 describe('line limiter', () => {
-  it('limits lines of one message in a second and says how many it left out', () => {
+  it('limits the lines per second of one message, and reports the number of lines that it left out', () => {
     let nowMs = 0
     const format = limitLines(createLineLimiterState(() => nowMs))
     const countWrittenLines = (level: string): number => Array.from({ length: 300 }, () => format.transform({ level, message: 'placed' }, format.options)).filter(Boolean).length
--- a/packages/wire/src/process/bounded-output.ts
+++ b/packages/wire/src/process/bounded-output.ts
@@ -1,16 +1,16 @@
 import { write, writeSync } from 'node:fs'
 import { Writable } from 'node:stream'
 
-/** Bytes that may wait for the reader of the output. */
+/** Maximum number of bytes that are kept until the reader of the output takes them. */
 const MAX_PENDING_BYTES = 1024 * 1024
 const STDOUT_FD = 1
 
-/** Writes a chunk and reports the bytes that were taken. */
+/** Writes a chunk, and calls `done` with the number of bytes written, which may be fewer than given. */
 export type WriteChunk = (chunk: Buffer, done: (error: Error | null, written: number) => void) => void
 
 /**
- * Standard output that never holds up its writer: what a slow reader does not take is kept up to a bound,
- * then dropped and counted.
+ * Stream to standard output that never blocks its writer: lines that the reader has not yet taken are kept up to
+ * `MAX_PENDING_BYTES`; further lines are dropped and counted. The count is written once the reader catches up.
  */
 export class BoundedOutput extends Writable {
   readonly #writeChunk: WriteChunk
@@ -24,7 +24,7 @@
     this.#writeChunk = writeChunk
   }
 
-  /** Lines dropped since the last note of it was written. */
+  /** Number of lines dropped since the last 'log lines dropped' line. */
   get droppedLineCount (): number {
     return this.#droppedLineCount
   }
@@ -36,7 +36,7 @@
     done()
   }
 
-  /** Writes what is left before the process ends, unless the reader has stopped. */
+  /** Writes all pending lines before the process exits, unless a write is still in progress. */
   flushSync (): void {
     if (this.#isWriting || this.#pendingChunks.length === 0) return
     writeSync(STDOUT_FD, Buffer.concat(this.#pendingChunks.splice(0)))
--- a/packages/wire/src/process/clock.ts
+++ b/packages/wire/src/process/clock.ts
@@ -1,8 +1,8 @@
 import { performance } from 'node:perf_hooks'
 
-/** Source of monotonic time. Decisions receive its value; they never read it. */
+/** Source of monotonic time. Decision functions are passed the time; they never read a clock. */
 export abstract class Clock {
-  /** Milliseconds since an arbitrary origin; never goes back. */
+  /** Returns the milliseconds since an arbitrary origin; the value never decreases. */
   abstract readNow (): number
 }
 
--- a/packages/wire/src/process/command-line.test.ts
+++ b/packages/wire/src/process/command-line.test.ts
@@ -22,7 +22,7 @@
     process.stderr.write = originalStderrWrite
   })
 
-  it('prints a settings error without its stack and exits with 2', async () => {
+  it('prints the message of a settings error without its stack, and sets the exit code to 2', async () => {
     const printedTexts: string[] = []
     process.argv = ['node', 'binary']
     process.stderr.write = ((text: string) => printedTexts.push(text) > 0) as typeof originalStderrWrite
@@ -31,7 +31,7 @@
     expect(printedTexts).to.deep.equal(['a.json: port: expected number\n'])
   })
 
-  it('describes every command for --help', async () => {
+  it('prints the usage for --help, and leaves the exit code unchanged', async () => {
     const printedTexts: string[] = []
     const originalStdoutWrite = process.stdout.write
     process.argv = ['node', 'binary', '--help']
--- a/packages/wire/src/process/command-line.ts
+++ b/packages/wire/src/process/command-line.ts
@@ -9,9 +9,10 @@
 }
 
 /**
- * Runs a binary's command line; a settings error prints its message and exits with 2.
+ * Runs the command that the process's arguments select, and sets the exit code if it fails.
  *
- * Commands throw `SettingsError` for bad input; any other error exits with 1.
+ * Commands throw `SettingsError` for invalid input: its message is printed, and the exit code is 2, as it is for
+ * unknown arguments. Any other error sets the exit code to 1.
  */
 export async function runCommandLine ({ binaryName, binaryLabel, commands }: CommandLineOptions): Promise<void> {
   const cli = new Cli({ binaryName, binaryLabel, binaryVersion: '0.1.0' })
--- a/packages/wire/src/process/line-limiter.ts
+++ b/packages/wire/src/process/line-limiter.ts
@@ -1,12 +1,12 @@
 import winston from 'winston'
 
-/** Lines of one message that are written in a second, at levels below `warn`. */
+/** Maximum number of lines with the same message per window, at levels below `warn`. */
 const MAX_LINES_PER_WINDOW = 200
 const WINDOW_MS = 1_000
 
 /**
- * Limits how many lines of one message are written in a second; the next line after it carries the number left out.
- * Warnings and errors always pass.
+ * Limits the number of lines with the same message per window of one second. The first line of the next window has
+ * the number of lines left out, as `leftOut`. Warnings and errors are never left out.
  */
 export const limitLines = winston.format((info, options) => {
   if (info.level === 'warn' || info.level === 'error') return info
@@ -23,11 +23,16 @@
 })
 
 interface LineLimiterState {
+  /** Current window of each message, and the number of its lines in the window. */
   counts: Map<string, { startedAtMs: number, lines: number }>
   readNow: () => number
 }
 
-/** @example winston.format.combine(limitLines(createLineLimits()), winston.format.json()) */
+/**
+ * Creates the options of `limitLines`.
+ *
+ * @example winston.format.combine(limitLines(createLineLimiterState()), winston.format.json())
+ */
 export function createLineLimiterState (readNow: () => number = () => performance.now()): LineLimiterState {
   return { counts: new Map(), readNow }
 }
--- a/packages/wire/src/process/logger.ts
+++ b/packages/wire/src/process/logger.ts
@@ -7,14 +7,14 @@
 export type LogLevel = typeof logLevelNames[number]
 
 export interface LoggerOptions {
-  /** Name of the process, on every line. */
+  /** Name of the process, added to every line. */
   process: string
   level?: LogLevel
 }
 
 let output: BoundedOutput | undefined
 
-/** All loggers of a process share its standard output. */
+/** Returns the stream to standard output that all loggers of the process share. */
 function openOutput (): BoundedOutput {
   if (output !== undefined) return output
   const newOutput = new BoundedOutput()
@@ -23,7 +23,7 @@
   return newOutput
 }
 
-/** Creates a logger that writes one JSON object a line to standard output, bounded in volume and never waiting for the reader. */
+/** Creates a logger that writes one JSON object per line to standard output. It limits repeated lines, and never blocks when the reader of the output is slow. */
 export function createLogger (options: LoggerOptions): Logger {
   const { process: name, level = 'info' } = options
   return winston.createLogger({
--- a/packages/wire/src/process/seeded-random.ts
+++ b/packages/wire/src/process/seeded-random.ts
@@ -1,7 +1,9 @@
 /**
- * Pseudo-random numbers in [0, 1) by mulberry32, the same for the same seed.
+ * Creates a generator of pseudo-random numbers in [0, 1) (mulberry32). The same seed gives the same sequence.
  *
- * @example const random = createSeededRandom(7); random() // the same each time
+ * @example
+ * const random = createSeededRandom(7)
+ * random() // the same number in every run
  */
 export function createSeededRandom (seed: number): () => number {
   let state = seed | 0
--- a/packages/wire/src/process/shutdown.ts
+++ b/packages/wire/src/process/shutdown.ts
@@ -1,5 +1,5 @@
 /**
- * Runs `stop` once on SIGTERM or SIGINT, then exits with 0, or with 1 when it fails.
+ * Runs `stop` at the first SIGTERM or SIGINT, then exits with 0, or with 1 if `stop` fails.
  *
  * @example handleShutdown(async () => { await server.close() })
  */
--- a/packages/wire/src/runtime/decision.ts
+++ b/packages/wire/src/runtime/decision.ts
@@ -1,8 +1,8 @@
 /**
- * The result of a decision: the state to keep and what the host must do.
+ * The result of a decision function: the new state, and the effects that the host must run.
  *
- * A decision is a function of its state, a message and the time. It has no timer, socket, clock, log
- * or randomness of its own, so the same code runs in a process, in a scenario under a virtual clock
+ * A decision function depends only on its state, a message and the time. It has no access to timers, sockets, clocks,
+ * logs or random numbers, so the same code runs in a process, in a scenario under a virtual clock
  * and in a differential test. It owns its state and may change it in place.
  */
 export interface Step<State, Effect> {
--- a/packages/wire/src/runtime/slice-actor.ts
+++ b/packages/wire/src/runtime/slice-actor.ts
@@ -10,25 +10,25 @@
   logger: Logger
   initialState: State
   decide: Decide<State, Message, Effect>
-  /** Carries out one effect; `tell` sends a message back to the slice. */
+  /** Runs one effect; `tell` sends a message to the slice, such as the effect's result. */
   runEffect: (effect: Effect, tell: (message: Message) => void) => void
 }
 
-/** Handle of a running slice. */
+/** A running slice. */
 export interface SliceActor<State, Message> {
   tell: (message: Message) => void
-  /** The state as of the last message, for views and metrics; not to be changed. */
+  /** Returns the state after the last message, for status pages and metrics. It must not be changed. */
   readState: () => State
   stop: () => void
 }
 
-/** Actors of one name may follow each other while the first still drains. */
+/** Makes actor names unique: a slice may be started again while the actor of its previous run is still stopping. */
 let spawnCount = 0
 
 /**
- * Hosts a decision in an actor: messages are decided one by one, then their effects are run.
+ * Runs a decision function in an actor: it handles one message at a time and then runs the effects.
  *
- * An exception in a decision or effect is logged; the slice goes on with its state before the message.
+ * An exception in a decision function or an effect is logged; the slice then continues with the state before the message.
  */
 export function spawnSlice<State, Message, Effect> (options: SliceActorOptions<State, Message, Effect>): SliceActor<State, Message> {
   const { system, name, clock, logger, decide, runEffect } = options
--- a/packages/wire/src/status/gateway-status.ts
+++ b/packages/wire/src/status/gateway-status.ts
@@ -1,29 +1,29 @@
 import { z } from 'zod'
 import { logPositionSchema } from '../database/position.ts'
 
-/** Workspaces named in a status; those that use most of their rate come first. */
+/** Maximum number of workspaces in a status; those that use the largest fraction of their rate come first. */
 export const MOST_STATUS_WORKSPACES = 100
-/** Services named in a status. */
+/** Maximum number of services in a status. */
 export const MOST_STATUS_SERVICES = 200
 
-/** Why a gateway does not use an endpoint, or would rather use another one. */
+/** Reasons for which a gateway does not use an endpoint, or prefers another one. `silent` endpoints do not respond. */
 export const endpointDoubtSchema = z.enum(['draining', 'lagging', 'silent', 'refusing', 'avoided'])
 export type EndpointDoubt = z.infer<typeof endpointDoubtSchema>
 
-/** What one VM's gateway believes and uses, as `/status` on its metrics address shows it. Bounded, whatever the size of the deployment. */
+/** State of one VM's gateway, as `/status` on its metrics address returns it. Its size is limited, whatever the size of the deployment. */
 export const gatewayStatusSchema = z.object({
   vm: z.string(),
   isReady: z.boolean(),
   configurationVersion: z.number().int(),
-  /** Other VMs that it knows, and those of them that answer. */
+  /** Number of other VMs that the gateway knows, and number of those that respond. */
   vms: z.object({ known: z.number().int(), heard: z.number().int() }),
   sessions: z.number().int(),
   services: z.array(z.object({
     service: z.string(),
     primary: z.string().nullable(),
-    /** 0 while it is not known. */
+    /** 0 while the term is not known. */
     term: z.number().int(),
-    /** Whether the gateway trusts the primary for strict reads now. */
+    /** Whether the primary's leadership is verified, so that the gateway uses it for strict reads. */
     isTrusted: z.boolean(),
     acknowledged: logPositionSchema.nullable(),
     endpoints: z.number().int(),
@@ -31,11 +31,11 @@
   })),
   workspaces: z.array(z.object({
     workspace: z.string(),
-    /** Operations that all VMs were asked for in the last window, as this VM knows it. */
+    /** Operations that clients requested from all VMs in the last window, as far as this VM knows. */
     demand: z.number(),
-    /** Operations that the rate allows in a window, without the burst. */
+    /** Operations that the rate allows per window, without the burst. */
     allowed: z.number(),
-    /** This VM's part of the limit; 0 where other VMs count it. */
+    /** This VM's share of the limit; 0 if other VMs count the limit. */
     share: z.number()
   }))
 })
