--- a/packages/wire/src/peer/link-registry.ts
+++ b/packages/wire/src/peer/link-registry.ts
@@ -2,22 +2,22 @@
 import type { Envelope } from './envelope.ts'
 import type { PeerLink } from './link.ts'
 
-/** Silence after a send before the peer is pinged. */
-const PING_AFTER_MS = 1_000
-/** Silence after a send before the link is held for broken. */
-const BROKEN_AFTER_MS = 3_000
-/** Links unused for this long are closed; above the longest statement timeout. */
-const IDLE_CLOSE_MS = 900_000
+/** Time without anything received after a send, after which the peer is pinged. */
+const PING_DELAY_MS = 1_000
+/** Time without anything received after a send, after which the link is considered broken. */
+const RESPONSE_TIMEOUT_MS = 3_000
+/** Links that are unused for this long are closed. It is above the maximum statement timeout. */
+const IDLE_LINK_TIMEOUT_MS = 900_000
 
 interface LinkActivity {
   link: PeerLink
-  lastReceivedMs: number
-  lastUsedMs: number
-  /** When the oldest send that nothing has followed from the peer was made; `null` for none. */
-  awaitingSinceMs: number | null
+  lastReceivedAtMs: number
+  lastUsedAtMs: number
+  /** Time of the oldest send since which nothing was received from the peer; `null` if there is none. */
+  unansweredSinceMs: number | null
 }
 
-/** The open links, their activity and liveness. */
+/** The open links to peers. Tracks when each was last used, and detects broken ones. */
 export class LinkRegistry {
   readonly #clock: Clock
   readonly #links = new Map<string, LinkActivity[]>()
@@ -27,8 +27,8 @@
   }
 
   addLink (link: PeerLink): void {
-    const now = this.#clock.readNow()
-    const activity: LinkActivity = { link, lastReceivedMs: now, lastUsedMs: now, awaitingSinceMs: null }
+    const nowMs = this.#clock.readNow()
+    const activity: LinkActivity = { link, lastReceivedAtMs: nowMs, lastUsedAtMs: nowMs, unansweredSinceMs: null }
     link.subscribePong(() => this.recordReceived(link))
     const existing = this.#links.get(link.peer.vm) ?? []
     existing.push(activity)
@@ -41,7 +41,7 @@
     else this.#links.delete(link.peer.vm)
   }
 
-  /** The link in use to a VM: the oldest open one. */
+  /** Returns the link to use for a VM: the oldest open one. */
   findLink (vm: string): PeerLink | undefined {
     return this.#links.get(vm)?.find(a => a.link.isOpen)?.link
   }
@@ -58,28 +58,29 @@
     return this.listAllLinks().length
   }
 
-  /** Sends, or cuts a link whose peer reads too slowly to keep up. */
+  /** Sends an envelope, or terminates the link if the peer reads too slowly, so that the send buffer is full. */
   send (link: PeerLink, envelope: Envelope): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
-    const now = this.#clock.readNow()
-    activity.lastUsedMs = now
-    activity.awaitingSinceMs ??= now
+    const nowMs = this.#clock.readNow()
+    activity.lastUsedAtMs = nowMs
+    activity.unansweredSinceMs ??= nowMs
     if (!link.send(envelope)) link.terminate()
   }
 
+  /** Records that something was received on the link, which shows that the peer is reachable. */
   recordReceived (link: PeerLink): void {
     const activity = this.#findActivity(link)
     if (activity === undefined) return
-    activity.lastReceivedMs = this.#clock.readNow()
-    activity.lastUsedMs = activity.lastReceivedMs
-    activity.awaitingSinceMs = null
+    activity.lastReceivedAtMs = this.#clock.readNow()
+    activity.lastUsedAtMs = activity.lastReceivedAtMs
+    activity.unansweredSinceMs = null
   }
 
-  /** Pings silent links and cuts broken and unused ones. */
+  /** Pings peers that have not responded to a send, terminates broken links and closes unused ones. */
   checkLinks (): void {
-    const now = this.#clock.readNow()
-    for (const activity of [...this.#links.values()].flat()) checkLink(activity, now)
+    const nowMs = this.#clock.readNow()
+    for (const activity of [...this.#links.values()].flat()) checkLink(activity, nowMs)
   }
 
   #findActivity (link: PeerLink): LinkActivity | undefined {
@@ -87,13 +88,13 @@
   }
 }
 
-function checkLink (activity: LinkActivity, now: number): void {
-  if (now - activity.lastUsedMs > IDLE_CLOSE_MS) {
+function checkLink (activity: LinkActivity, nowMs: number): void {
+  if (nowMs - activity.lastUsedAtMs > IDLE_LINK_TIMEOUT_MS) {
     activity.link.close()
     return
   }
-  if (activity.awaitingSinceMs === null) return
-  const silentMs = now - activity.awaitingSinceMs
-  if (silentMs > BROKEN_AFTER_MS) activity.link.terminate()
-  else if (silentMs > PING_AFTER_MS) activity.link.ping()
+  if (activity.unansweredSinceMs === null) return
+  const unansweredMs = nowMs - activity.unansweredSinceMs
+  if (unansweredMs > RESPONSE_TIMEOUT_MS) activity.link.terminate()
+  else if (unansweredMs > PING_DELAY_MS) activity.link.ping()
 }
--- a/packages/wire/src/peer/ws-peer-network.ts
+++ b/packages/wire/src/peer/ws-peer-network.ts
@@ -6,9 +6,9 @@
 import { LinkRegistry } from './link-registry.ts'
 import { PeerNetwork, type LinkLoss, type LossListener, type PeerHandler } from './peer-network.ts'
 
-/** Messages that wait for a link to open; later ones are dropped. */
-const MAX_WAITING_MESSAGES = 1_000
-const CHECK_INTERVAL_MS = 500
+/** Maximum number of messages that are queued until a link is open; further ones are dropped. */
+const MAX_QUEUED_MESSAGES = 1_000
+const LINK_CHECK_INTERVAL_MS = 500
 
 export interface PeerAddress { host: string, port: number }
 
@@ -16,31 +16,31 @@
   self: Hello
   clock: Clock
   logger: Logger
-  /** Finds the address of a VM by name; `undefined` for an unknown one. */
+  /** Finds the address of a VM by name; returns `undefined` for an unknown VM. */
   findAddress: (vm: string) => PeerAddress | undefined
 }
 
 interface PendingLink {
-  waiting: Envelope[]
+  queuedEnvelopes: Envelope[]
 }
 
 /**
- * Links between VMs over WebSockets, opened when first needed.
+ * Sends messages between VMs over WebSockets, which are opened when first needed.
  *
- * All messages to one VM take the same link while it lives, so they keep their order. A link on
- * which something was sent and nothing came back is pinged, then cut; see `LinkRegistry`.
+ * All messages to one VM use the same link while it is open, so they stay in order. If nothing is received after a
+ * send, the peer is pinged, and then the link is terminated; see `LinkRegistry`.
  */
 export class WsPeerNetwork extends PeerNetwork {
   override readonly self: Hello
   readonly #options: WsPeerNetworkOptions
   readonly #registry: LinkRegistry
-  readonly #pending = new Map<string, PendingLink>()
+  readonly #pendingLinks = new Map<string, PendingLink>()
   readonly #handlers = new Map<string, PeerHandler>()
   readonly #lossListeners: LossListener[] = []
   readonly #linkHandlers: LinkHandlers
   readonly #timer: NodeJS.Timeout
   #server: PeerServer | undefined
-  #stopped = false
+  #isStopped = false
 
   constructor (options: WsPeerNetworkOptions) {
     super()
@@ -49,13 +49,17 @@
     this.#registry = new LinkRegistry(options.clock)
     this.#linkHandlers = {
       onMessage: (link, envelope) => this.#receive(link, envelope),
-      onClose: link => this.#handleClose(link)
+      onClose: link => this.#handleLinkClose(link)
     }
-    this.#timer = setInterval(() => this.#registry.checkLinks(), CHECK_INTERVAL_MS)
+    this.#timer = setInterval(() => this.#registry.checkLinks(), LINK_CHECK_INTERVAL_MS)
     this.#timer.unref()
   }
 
-  /** Accepts links. @returns the bound port */
+  /**
+   * Starts to accept links from peers.
+   *
+   * @returns the bound port
+   */
   async listen (host: string, port: number): Promise<number> {
     this.#server = await listenForPeers(host, port, this.self, this.#linkHandlers, link => this.#registry.addLink(link))
     return this.#server.port
@@ -73,7 +77,7 @@
     }
     const address = this.#options.findAddress(vm)
     if (address === undefined) {
-      this.#publishLoss(vm, 'unreachable')
+      this.#publishLinkLoss(vm, 'unreachable')
       return
     }
     this.#sendWhenOpen(vm, address, { slice, body })
@@ -91,7 +95,7 @@
     this.#lossListeners.push(listener)
   }
 
-  /** Cuts every link to a VM that membership holds for dead. */
+  /** Terminates every link to a VM, for a VM that is considered dead. */
   closeLinks (vm: string): void {
     for (const link of this.#registry.listLinks(vm)) link.terminate()
   }
@@ -101,50 +105,50 @@
   }
 
   async stop (): Promise<void> {
-    this.#stopped = true
+    this.#isStopped = true
     clearInterval(this.#timer)
     for (const link of this.#registry.listAllLinks()) link.terminate()
     await this.#server?.close()
   }
 
   #sendWhenOpen (key: string, address: PeerAddress, envelope: Envelope): void {
-    const pending = this.#pending.get(key)
+    const pending = this.#pendingLinks.get(key)
     if (pending !== undefined) {
-      if (pending.waiting.length < MAX_WAITING_MESSAGES) pending.waiting.push(envelope)
+      if (pending.queuedEnvelopes.length < MAX_QUEUED_MESSAGES) pending.queuedEnvelopes.push(envelope)
       return
     }
-    const created: PendingLink = { waiting: [envelope] }
-    this.#pending.set(key, created)
+    const newPendingLink: PendingLink = { queuedEnvelopes: [envelope] }
+    this.#pendingLinks.set(key, newPendingLink)
     openPeerLink(address.host, address.port, this.self, this.#linkHandlers).then(
-      link => this.#handleOpen(key, link, created),
-      error => this.#handleOpenFailure(key, error)
+      link => this.#handleLinkOpen(key, link, newPendingLink),
+      error => this.#handleLinkFailure(key, error)
     )
   }
 
-  #handleOpen (key: string, link: PeerLink, pending: PendingLink): void {
-    this.#pending.delete(key)
-    if (this.#stopped) {
+  #handleLinkOpen (key: string, link: PeerLink, pending: PendingLink): void {
+    this.#pendingLinks.delete(key)
+    if (this.#isStopped) {
       link.terminate()
       return
     }
     this.#registry.addLink(link)
-    for (const e of pending.waiting) this.#registry.send(link, e)
+    for (const e of pending.queuedEnvelopes) this.#registry.send(link, e)
   }
 
-  #handleOpenFailure (key: string, error: unknown): void {
-    this.#pending.delete(key)
-    if (this.#stopped) return
+  #handleLinkFailure (key: string, error: unknown): void {
+    this.#pendingLinks.delete(key)
+    if (this.#isStopped) return
     const reason = error instanceof LinkError ? error.message : String(error)
-    this.#options.logger.debug('peer link not opened', { peer: key, reason })
-    this.#publishLoss(key, 'unreachable')
+    this.#options.logger.debug('peer link attempt failed', { peer: key, reason })
+    this.#publishLinkLoss(key, 'unreachable')
   }
 
-  #handleClose (link: PeerLink): void {
+  #handleLinkClose (link: PeerLink): void {
     this.#registry.removeLink(link)
-    if (!this.#stopped) this.#publishLoss(link.peer.vm, 'closed')
+    if (!this.#isStopped) this.#publishLinkLoss(link.peer.vm, 'closed')
   }
 
-  #publishLoss (vm: string, loss: LinkLoss): void {
+  #publishLinkLoss (vm: string, loss: LinkLoss): void {
     setImmediate(() => {
       for (const listener of this.#lossListeners) listener(vm, loss)
     })
@@ -158,7 +162,7 @@
   #deliver (from: Hello, envelope: Envelope): void {
     const handler = this.#handlers.get(envelope.slice)
     if (handler === undefined) {
-      this.#options.logger.warn('message for an unknown slice', { from: from.vm, slice: envelope.slice })
+      this.#options.logger.warn('peer message for an unknown slice dropped', { from: from.vm, slice: envelope.slice })
       return
     }
     handler(from, envelope.body)
--- a/packages/wire/src/process/command-line.ts
+++ b/packages/wire/src/process/command-line.ts
@@ -9,20 +9,21 @@
 }
 
 /**
- * Runs a binary's command line; a settings error prints its message and exits with 2.
+ * Runs the command that the process's arguments select, and sets the exit code if it fails.
  *
- * Commands throw `SettingsError` for bad input; any other error exits with 1.
+ * Commands throw `SettingsError` for invalid input: its message is printed, and the exit code is 2, as it is for
+ * unknown arguments. Any other error sets the exit code to 1.
  */
 export async function runCommandLine ({ binaryName, binaryLabel, commands }: CommandLineOptions): Promise<void> {
   const cli = new Cli({ binaryName, binaryLabel, binaryVersion: '0.1.0' })
   for (const c of [Builtins.HelpCommand, Builtins.VersionCommand, ...commands]) cli.register(c)
   try {
     const command = cli.process(process.argv.slice(2), {})
-    let failure: unknown
+    let commandError: unknown
     // The library prints a command's error with its stack and exits with 1; it is reported here instead.
-    command.catch = async error => { failure = error }
+    command.catch = async error => { commandError = error }
     const code = await cli.run(command)
-    if (failure !== undefined) throw failure
+    if (commandError !== undefined) throw commandError
     if (code !== 0) process.exitCode = code
   } catch (error) {
     printFailure(cli, error)
