--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -148,7 +148,7 @@
   const recordResult = (service: string, result: string): void => metrics.promotions.inc({ service, result })
   const failover = new FailoverWatch({ clock, logger, members, host, listGroups: () => groups.list(), poll: () => fleet.poll(), recordResult })
   const permits = new PermitClient({ clock, logger, windowMs: settings.quota.windowS * MS_PER_SECOND, counting, quotas, send: (vm, message) => fleet.send(vm, message) })
-  network.subscribeLoss(vm => permits.handleLinkLoss(vm))
+  network.subscribeLinkLoss(vm => permits.handleLinkLoss(vm))
   fleetMessageHandler.connect(fleet, failover, permits)
   return { settings, adapters, logger, clock, metrics, configuration, directory, members, groups, quotas, permits, quotaRecord, leadershipVerifier, network, fleet, failover }
 }
--- a/packages/gateway/src/backend/endpoint-connector.ts
+++ b/packages/gateway/src/backend/endpoint-connector.ts
@@ -1,13 +1,13 @@
 import type { LogPosition } from '@camphorpitch/wire'
-import type { AnswerError, StatementMode, TransactionState } from './statement.ts'
+import type { ResponseError, StatementMode, TransactionState } from './statement.ts'
 
 /** An endpoint's complete response to one statement. */
-export interface EndpointAnswer {
+export interface EndpointResponse {
   /** Rows in the order and form in which the endpoint sent them. */
   rows: string[]
   /** The endpoint's signature over what it ran; `null` when it gave none or the statement failed. */
   signature: string | null
-  error: AnswerError | null
+  error: ResponseError | null
   /** State of the connection's transaction after the statement. */
   state: TransactionState
   /** End of the endpoint's log at the time of the response; `null` when the response does not contain it. */
@@ -51,18 +51,18 @@
    * @param text the statement, as the client sent it
    * @param atLeast position that the endpoint's log must hold; an endpoint that lacks it responds with `lagging`. `null` requires none
    */
-  abstract run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointAnswer>
+  abstract run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointResponse>
   /** Opens a transaction; `id` and `atLeast` are as for `run`. */
-  abstract begin (id: string, isReadOnly: boolean, atLeast: LogPosition | null): Promise<EndpointAnswer>
-  abstract rollback (): Promise<EndpointAnswer>
+  abstract begin (id: string, isReadOnly: boolean, atLeast: LogPosition | null): Promise<EndpointResponse>
+  abstract rollback (): Promise<EndpointResponse>
   /** Sets a session value. */
-  abstract setValue (name: string, value: string): Promise<EndpointAnswer>
+  abstract setValue (name: string, value: string): Promise<EndpointResponse>
   /** Prepares a statement under `name`; `shape` is its definition. */
-  abstract prepare (name: string, mode: StatementMode, shape: string): Promise<EndpointAnswer>
+  abstract prepare (name: string, mode: StatementMode, shape: string): Promise<EndpointResponse>
   /** Drops the prepared statement `name`. */
-  abstract closeStatement (name: string): Promise<EndpointAnswer>
+  abstract closeStatement (name: string): Promise<EndpointResponse>
   /** Drops all session values and prepared statements. */
-  abstract discard (): Promise<EndpointAnswer>
+  abstract discard (): Promise<EndpointResponse>
   /** Requests the endpoint's status; `null` when the endpoint is too busy to report it. */
   abstract readStatus (): Promise<EndpointStatus | null>
   /** Stops a replica from receiving log entries until it is resumed, promoted or restarted. */
--- a/packages/gateway/src/backend/statement.ts
+++ b/packages/gateway/src/backend/statement.ts
@@ -29,4 +29,4 @@
 export type ErrorCode = typeof errorCodes[number]
 
 /** An error sent to a client or received from an endpoint; `text` describes it for people. */
-export interface AnswerError { code: ErrorCode, text: string }
+export interface ResponseError { code: ErrorCode, text: string }
--- a/packages/gateway/src/clients/client-listener.ts
+++ b/packages/gateway/src/clients/client-listener.ts
@@ -1,11 +1,11 @@
-import type { AnswerError, ClientStatement, TransactionState } from '../backend/statement.ts'
+import type { ResponseError, ClientStatement, TransactionState } from '../backend/statement.ts'
 
 /** Response to one statement of a client. */
 export interface ClientResponse {
   rows?: readonly string[]
   /** The endpoint's signature; absent if the gateway responds without an endpoint. */
   signature?: string | null
-  error?: AnswerError | null
+  error?: ResponseError | null
   state: TransactionState
   /** Position to send to the client, as `term.index`; absent for none. */
   position?: { term: number, index: number } | null
@@ -16,7 +16,7 @@
   /** Tells the client that its session is accepted. */
   abstract sendWelcome (): void
   /** Refuses the session and closes the connection. */
-  abstract sendRefusal (error: AnswerError): void
+  abstract sendRefusal (error: ResponseError): void
   abstract sendResponse (answer: ClientResponse): void
   abstract close (): void
 }
--- a/packages/gateway/src/groups/service-group.ts
+++ b/packages/gateway/src/groups/service-group.ts
@@ -1,5 +1,5 @@
 import type { Clock, Logger, LogPosition } from '@camphorpitch/wire'
-import type { EndpointAnswer, EndpointConnector } from '../backend/endpoint-connector.ts'
+import type { EndpointResponse, EndpointConnector } from '../backend/endpoint-connector.ts'
 import { ConnectionLostError } from '../backend/errors.ts'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
 import { createGroupState, isLeadershipRevoked, recordPrimaryResponse, recordCommit, updatePrimary, type GroupState } from '../freshness/group-state.ts'
@@ -117,7 +117,7 @@
    *
    * @throws ConnectionLostError if no response arrived within `timeoutMs`; the connection must not be used again
    */
-  async runStatement (pool: EndpointPool, isWrite: boolean, timeoutMs: number, send: () => Promise<EndpointAnswer>): Promise<EndpointAnswer> {
+  async runStatement (pool: EndpointPool, isWrite: boolean, timeoutMs: number, send: () => Promise<EndpointResponse>): Promise<EndpointResponse> {
     const { clock } = this.#options
     const endpoint = pool.entry.endpoint
     const sentAtMs = clock.readNow()
@@ -146,7 +146,7 @@
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs ??= nowMs
   }
 
-  #recordWriteResponse (endpoint: string, sentAtMs: number, response: EndpointAnswer, nowMs: number): void {
+  #recordWriteResponse (endpoint: string, sentAtMs: number, response: EndpointResponse, nowMs: number): void {
     if (this.state.primary?.endpoint === endpoint) this.unansweredWriteSinceMs = null
     if (response.error === null && response.state === 'idle') recordCommit(this.state, endpoint, sentAtMs, response.position, nowMs)
   }
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -1,4 +1,4 @@
-import { computeRetryAfterMs, countAvailable, createBucket, replaceRate, reserveTokens, spendReserved, type TokenBucket } from '@camphorpitch/wire'
+import { computeRetryAfterMs, countAvailableTokens, createBucket, replaceRate, reserveTokens, spendReservedTokens, type TokenBucket } from '@camphorpitch/wire'
 import type { Workspace } from '../configuration/configuration.ts'
 
 /** Operations per window that are added to each VM's demand when shares are computed, since a small count predicts the next window badly. */
@@ -125,9 +125,9 @@
 }
 
 /** Computes how many operations this VM's bucket holds beyond its share of the burst. */
-function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFewVms: isCountedByFew }: FleetDemand): number {
+function computeBurstHeadroom ({ overshoot, slack }: QuotaTolerance, limitPerWindow: number, { vms, isCountedByFewVms }: FleetDemand): number {
   const totalHeadroom = SLACK_HEADROOM_FRACTION * slack + OVERSHOOT_HEADROOM_FRACTION * limitPerWindow * overshoot
-  return (isCountedByFew ? FEW_VMS_HEADROOM_FRACTION * totalHeadroom : totalHeadroom) / vms
+  return (isCountedByFewVms ? FEW_VMS_HEADROOM_FRACTION * totalHeadroom : totalHeadroom) / vms
 }
 
 /** Computes how many operations a new bucket holds, depending on how much of the limit may have been used before. */
@@ -156,11 +156,11 @@
   const bucket = state.buckets.get(workspace)
   if (bucket === undefined) return { isAdmitted: true }
   const overdraft = state.overdraft.get(workspace) ?? 0
-  if (countAvailable(bucket, nowMs) < 1 && overdraft >= 1) {
+  if (countAvailableTokens(bucket, nowMs) < 1 && overdraft >= 1) {
     state.overdraft.set(workspace, overdraft - 1)
     return { isAdmitted: true }
   }
-  if (countAvailable(bucket, nowMs) < 1) return { isAdmitted: false, retryAfterMs: computeRetryAfterMs(bucket, nowMs) }
+  if (countAvailableTokens(bucket, nowMs) < 1) return { isAdmitted: false, retryAfterMs: computeRetryAfterMs(bucket, nowMs) }
   countOperation(state, workspace, nowMs)
   return { isAdmitted: true }
 }
@@ -170,11 +170,11 @@
   const bucket = state.buckets.get(workspace)
   if (bucket === undefined) return
   reserveTokens(bucket, 1)
-  spendReserved(bucket, 1, nowMs)
+  spendReservedTokens(bucket, 1, nowMs)
 }
 
 /** Whether enough of a workspace's limit is left here that other VMs may admit operations without asking first. */
 export function hasReserve (state: QuotaState, workspace: string, nowMs: number): boolean {
   const bucket = state.buckets.get(workspace)
-  return bucket === undefined || countAvailable(bucket, nowMs) >= MIN_RESERVE_FRACTION * bucket.burst
+  return bucket === undefined || countAvailableTokens(bucket, nowMs) >= MIN_RESERVE_FRACTION * bucket.burst
 }
--- a/packages/gateway/src/pool/pooled-connection.ts
+++ b/packages/gateway/src/pool/pooled-connection.ts
@@ -1,5 +1,5 @@
 import type { LogPosition } from '@camphorpitch/wire'
-import type { EndpointAnswer, EndpointConnection } from '../backend/endpoint-connector.ts'
+import type { EndpointResponse, EndpointConnection } from '../backend/endpoint-connector.ts'
 import type { StatementMode } from '../backend/statement.ts'
 
 /** A prepared statement of a client session; `shape` is the definition that is sent to the endpoint. */
@@ -38,8 +38,8 @@
    * @param preparedName the prepared statement to be executed next; `null` for none
    * @returns the pending responses; one rejects only if the connection is lost, and then the next statement fails as well
    */
-  restoreSession (required: RequiredSessionState, preparedName: string | null): Array<Promise<EndpointAnswer>> {
-    const responses: Array<Promise<EndpointAnswer>> = []
+  restoreSession (required: RequiredSessionState, preparedName: string | null): Array<Promise<EndpointResponse>> {
+    const responses: Array<Promise<EndpointResponse>> = []
     if (this.#heldSession !== required.session) {
       if (this.#heldValues.size > 0 || this.#heldPrepared.size > 0) responses.push(this.connection.discard())
       this.#heldValues.clear()
@@ -56,11 +56,11 @@
     return responses
   }
 
-  async run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointAnswer> {
+  async run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointResponse> {
     return await this.connection.run(id, text, atLeast)
   }
 
-  #restorePrepared (required: RequiredSessionState, name: string, responses: Array<Promise<EndpointAnswer>>): void {
+  #restorePrepared (required: RequiredSessionState, name: string, responses: Array<Promise<EndpointResponse>>): void {
     const requiredStatement = required.preparedStatements.get(name)
     const heldStatement = this.#heldPrepared.get(name)
     if (requiredStatement === undefined || (heldStatement?.mode === requiredStatement.mode && heldStatement.shape === requiredStatement.shape)) return
--- a/packages/gateway/src/sessions/authenticate.ts
+++ b/packages/gateway/src/sessions/authenticate.ts
@@ -1,11 +1,11 @@
-import type { AnswerError } from '../backend/statement.ts'
+import type { ResponseError } from '../backend/statement.ts'
 import type { Configuration, Route } from '../configuration/configuration.ts'
 
 /** Workspace name for clients without a known key, whose statements run on public routes only. */
 export const ANONYMOUS_WORKSPACE = '-'
 
 /** The route and workspace of a client, or the error that refuses it. */
-export type Admission = { route: Route, workspace: string } | { error: AnswerError }
+export type Admission = { route: Route, workspace: string } | { error: ResponseError }
 
 /**
  * Finds the route of a database and the workspace of a key in one version of the configuration.
--- a/packages/gateway/src/sessions/client-session.test.ts
+++ b/packages/gateway/src/sessions/client-session.test.ts
@@ -1,6 +1,6 @@
 import { createLogger } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import type { AnswerError, ClientStatement } from '../backend/statement.ts'
+import type { ResponseError, ClientStatement } from '../backend/statement.ts'
 import { ClientTransport, type ClientResponse } from '../clients/client-listener.ts'
 import type { Configuration } from '../configuration/configuration.ts'
 import type { Operation, Outcome } from '../statements/operation.ts'
@@ -32,7 +32,7 @@
     waitForConfiguration: async () => configuration,
     readConfiguration: () => configuration,
     readTransactionIdleTimeoutMs: () => 3_000,
-    admitOperation: async (): Promise<AnswerError | null> => null,
+    admitOperation: async (): Promise<ResponseError | null> => null,
     runRead: run,
     runWrite: run,
     openTransaction: async () => ({ refusal: { code: 'busy', text: '' } }),
--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -1,5 +1,5 @@
 import { pickLaterPosition, type LogPosition } from '@camphorpitch/wire'
-import type { AnswerError, ClientStatement } from '../backend/statement.ts'
+import type { ResponseError, ClientStatement } from '../backend/statement.ts'
 import type { ClientResponse, ClientEvents, ClientTransport } from '../clients/client-listener.ts'
 import type { Configuration, Route } from '../configuration/configuration.ts'
 import type { Operation, Outcome } from '../statements/operation.ts'
@@ -153,12 +153,12 @@
   }
 
   /** Checks key, route and quota at the start of an operation: a transaction or a single statement. */
-  async #admitOperation (statement: ClientStatement): Promise<AnswerError | null> {
+  async #admitOperation (statement: ClientStatement): Promise<ResponseError | null> {
     const configuration = this.#host.readConfiguration()
     if (configuration === null) return { code: 'busy', text: 'no configuration yet; retry after 1000 ms' }
     const admission = authenticate(configuration, this.#database, this.#key)
     if ('error' in admission || admission.workspace !== this.#workspace) {
-      const error: AnswerError = 'error' in admission ? admission.error : { code: 'noAuth', text: 'the key belongs to another workspace now' }
+      const error: ResponseError = 'error' in admission ? admission.error : { code: 'noAuth', text: 'the key belongs to another workspace now' }
       this.#host.logger.info('operation refused because its key or database is not valid', { id: statement.id, session: this.id, version: configuration.version, ...error })
       return error
     }
@@ -203,7 +203,7 @@
   }
 
   /** Returns the open transaction, opening it at an endpoint for its first statement. */
-  async #ensureTransaction (operation: Operation): Promise<PinnedTransaction | { refusal: AnswerError }> {
+  async #ensureTransaction (operation: Operation): Promise<PinnedTransaction | { refusal: ResponseError }> {
     if (this.#transactionLossReason !== null) return { refusal: { code: 'aborted', text: this.#transactionLossReason } }
     if (this.#transaction !== null) return this.#transaction
     const opened = await this.#host.openTransaction(operation, this.#sessionState.isReadOnly)
--- a/packages/gateway/src/sessions/decide-statement.ts
+++ b/packages/gateway/src/sessions/decide-statement.ts
@@ -1,4 +1,4 @@
-import type { AnswerError, ClientStatement, TransactionState } from '../backend/statement.ts'
+import type { ResponseError, ClientStatement, TransactionState } from '../backend/statement.ts'
 import type { PreparedStatement } from '../pool/pooled-connection.ts'
 
 /** State that a session keeps for its client between statements. */
@@ -13,7 +13,7 @@
 /** What the session does with a statement. */
 export type StatementPlan =
   /** The session responds without an endpoint. */
-  | { type: 'answer', error: AnswerError | null }
+  | { type: 'answer', error: ResponseError | null }
   /** The session responds at once; the transaction is opened at an endpoint with its first statement. */
   | { type: 'begin' }
   | { type: 'run', isWrite: boolean, preparedName: string | null }
@@ -26,7 +26,7 @@
   return { transaction: 'idle', isReadOnly: false, sessionValues: new Map(), preparedStatements: new Map() }
 }
 
-function createErrorPlan (code: AnswerError['code'], text: string): StatementPlan {
+function createErrorPlan (code: ResponseError['code'], text: string): StatementPlan {
   return { type: 'answer', error: { code, text } }
 }
 
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -1,5 +1,5 @@
 import type { Clock, Logger } from '@camphorpitch/wire'
-import type { AnswerError } from '../backend/statement.ts'
+import type { ResponseError } from '../backend/statement.ts'
 import type { Configuration } from '../configuration/configuration.ts'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import type { FailoverWatch } from '../failover/failover-watch.ts'
@@ -62,7 +62,7 @@
 
   readTransactionIdleTimeoutMs = (): number => this.#options.configuration.current?.transactionIdleMs ?? DEFAULT_TRANSACTION_IDLE_TIMEOUT_MS
 
-  admitOperation = async (id: string, workspace: string): Promise<AnswerError | null> => {
+  admitOperation = async (id: string, workspace: string): Promise<ResponseError | null> => {
     const { quotas, permits, metrics } = this.#options
     const verdict = quotas.isCountedByFewVms(workspace) ? await permits.request(workspace) : quotas.admit(workspace)
     if (verdict.isAdmitted) return null
@@ -101,7 +101,7 @@
 
   removeSession = (session: ClientSession): void => this.#options.removeSession(session)
 
-  #refuseUncounted (id: string, workspace: string, retryAfterMs: number): AnswerError {
+  #refuseUncounted (id: string, workspace: string, retryAfterMs: number): ResponseError {
     this.#options.metrics.uncountedRefusals.inc()
     this.logger.warn('operation refused because no counting VM responded', { id, workspace, retryAfterMs })
     return createRetryRefusal('busy', 'no vm that counts the workspace\'s rate answers', retryAfterMs).refusal
--- a/packages/gateway/src/sessions/session-host.ts
+++ b/packages/gateway/src/sessions/session-host.ts
@@ -1,5 +1,5 @@
 import type { Clock, Logger } from '@camphorpitch/wire'
-import type { AnswerError } from '../backend/statement.ts'
+import type { ResponseError } from '../backend/statement.ts'
 import type { Configuration } from '../configuration/configuration.ts'
 import type { Operation, Outcome } from '../statements/operation.ts'
 import type { OpenedTransaction } from '../statements/pinned-transaction.ts'
@@ -16,7 +16,7 @@
   /** Returns the time after which an idle transaction is rolled back, in milliseconds. */
   readTransactionIdleTimeoutMs: () => number
   /** Counts an operation against its workspace's quota. @returns the error that refuses the operation, or `null` when it is admitted */
-  admitOperation: (id: string, workspace: string) => Promise<AnswerError | null>
+  admitOperation: (id: string, workspace: string) => Promise<ResponseError | null>
   runRead: (operation: Operation) => Promise<Outcome>
   runWrite: (operation: Operation) => Promise<Outcome>
   openTransaction: (operation: Operation, isReadOnly: boolean) => Promise<OpenedTransaction>
--- a/packages/gateway/src/statements/operation.ts
+++ b/packages/gateway/src/statements/operation.ts
@@ -1,6 +1,6 @@
 import type { LogPosition } from '@camphorpitch/wire'
-import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
-import type { AnswerError, ClientStatement } from '../backend/statement.ts'
+import type { EndpointResponse } from '../backend/endpoint-connector.ts'
+import type { ResponseError, ClientStatement } from '../backend/statement.ts'
 import type { Route } from '../configuration/configuration.ts'
 import type { RequiredSessionState } from '../pool/pooled-connection.ts'
 
@@ -19,7 +19,7 @@
 }
 
 /** How a statement ended: with an endpoint's response, or with a refusal when no response can be given. */
-export type Outcome = { answer: EndpointAnswer, endpoint: string } | { refusal: AnswerError }
+export type Outcome = { answer: EndpointResponse, endpoint: string } | { refusal: ResponseError }
 
 /** Fraction of an operation's objective (`Route.objectiveMs`) for which it may wait before it is sent to an endpoint. */
 const MAX_WAIT_FRACTION = 0.25
@@ -40,6 +40,6 @@
 }
 
 /** Creates a refusal whose text tells the client when to retry. */
-export function createRetryRefusal<C extends AnswerError['code']> (code: C, reason: string, retryAfterMs: number): { refusal: { code: C, text: string } } {
+export function createRetryRefusal<C extends ResponseError['code']> (code: C, reason: string, retryAfterMs: number): { refusal: { code: C, text: string } } {
   return { refusal: { code, text: `${reason}; retry after ${Math.ceil(retryAfterMs)} ms` } }
 }
--- a/packages/gateway/src/statements/pinned-transaction.ts
+++ b/packages/gateway/src/statements/pinned-transaction.ts
@@ -1,5 +1,5 @@
 import { describeError } from '@camphorpitch/wire'
-import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
+import type { EndpointResponse } from '../backend/endpoint-connector.ts'
 import { isPrimaryFresh } from '../freshness/group-state.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
@@ -99,7 +99,7 @@
   }
 
   /** Runs a statement, and again after a backoff while the endpoint is too busy and the transaction is still open. */
-  async #runWithRetries (operation: Operation, isWrite: boolean): Promise<EndpointAnswer> {
+  async #runWithRetries (operation: Operation, isWrite: boolean): Promise<EndpointResponse> {
     const { clock } = this.#context
     const { statement, requiredState, preparedName } = operation
     for (let attemptCount = 1; ; attemptCount++) {
@@ -191,7 +191,7 @@
   }
 }
 
-function createBeginRefusal (context: StatementContext, group: ServiceGroup, pool: EndpointPool, { error }: EndpointAnswer): OpenedTransaction {
+function createBeginRefusal (context: StatementContext, group: ServiceGroup, pool: EndpointPool, { error }: EndpointResponse): OpenedTransaction {
   if (error?.code === 'lagging') pool.laggingUntilMs = context.clock.readNow() + LAGGING_AVOID_MS
   if (error?.code === 'readOnly') context.refreshPrimary(group)
   const code = error?.code === 'lagging' || error?.code === 'readOnly' ? error.code : 'busy'
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -1,5 +1,5 @@
 import { createRetryBudget, describeError, recordRequest, spendRetry, type RetryBudget } from '@camphorpitch/wire'
-import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
+import type { EndpointResponse } from '../backend/endpoint-connector.ts'
 import type { ErrorCode } from '../backend/statement.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
 import { recordBusy } from '../pool/endpoint-health.ts'
@@ -34,7 +34,7 @@
 }
 
 /** Result of one attempt: a response, or `notRun` when no statement was sent, or `unanswered` when no response came. */
-type AttemptResult = { kind: 'answered', answer: EndpointAnswer, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
+type AttemptResult = { kind: 'answered', answer: EndpointResponse, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
 
 /**
  * Runs a read outside of a transaction.
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -1,5 +1,5 @@
 import type { Clock, LogPosition } from '@camphorpitch/wire'
-import type { EndpointAnswer } from '../backend/endpoint-connector.ts'
+import type { EndpointResponse } from '../backend/endpoint-connector.ts'
 import type { ServiceGroup } from '../groups/service-group.ts'
 import type { EndpointPool } from '../pool/endpoint-pool.ts'
 import type { Operation } from './operation.ts'
@@ -18,7 +18,7 @@
   /** Timeout of a rollback, in milliseconds. After it the connection is closed, which also rolls back. */
   rollbackTimeoutMs: number
   /** Logs an endpoint's response to a statement, also when it is an error. */
-  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointAnswer) => void
+  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointResponse) => void
   /** Logs that an endpoint did not respond to a statement. */
   logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
--- a/packages/gateway/src/telemetry/gateway-status.ts
+++ b/packages/gateway/src/telemetry/gateway-status.ts
@@ -1,4 +1,4 @@
-import { MOST_STATUS_SERVICES, MOST_STATUS_WORKSPACES, type Clock, type EndpointDoubt, type GatewayStatus } from '@camphorpitch/wire'
+import { MAX_STATUS_SERVICES, MAX_STATUS_WORKSPACES, type Clock, type EndpointDoubt, type GatewayStatus } from '@camphorpitch/wire'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.ts'
 import { listResponsive, type MemberState } from '../fleet/members.ts'
 import { isPrimaryFresh } from '../freshness/group-state.ts'
@@ -27,8 +27,8 @@
     configurationVersion: configuration.version,
     vms: { known: members.members.size, heard: listResponsive(members, nowMs).length },
     sessions: countSessions(),
-    services: groups.list().slice(0, MOST_STATUS_SERVICES).map(g => describeGroup(g, nowMs)),
-    workspaces: quotas.listUsage().sort((a, b) => b.demand / b.allowed - a.demand / a.allowed).slice(0, MOST_STATUS_WORKSPACES)
+    services: groups.list().slice(0, MAX_STATUS_SERVICES).map(g => describeGroup(g, nowMs)),
+    workspaces: quotas.listUsage().sort((a, b) => b.demand / b.allowed - a.demand / a.allowed).slice(0, MAX_STATUS_WORKSPACES)
   }
 }
 
--- a/packages/load/src/benchmarks/forwarding.ts
+++ b/packages/load/src/benchmarks/forwarding.ts
@@ -1,4 +1,4 @@
-import { createLogger, MonotonicClock, WsPeerNetwork, type AnswerFrame, type StatementRequest } from '@camphorpitch/wire'
+import { createLogger, MonotonicClock, WsPeerNetwork, type ResponseFrame, type StatementRequest } from '@camphorpitch/wire'
 import { DatabaseService, RemoteStatements, StatementServer, STATEMENTS_SLICE, parseStatementMessage } from '@camphorpitch/proxy'
 
 const WARM_UP = 2_000
@@ -14,7 +14,7 @@
     this.#rows = Array.from({ length: rows }, () => [Buffer.from('1234'), Buffer.from('coral red'), null])
   }
 
-  override async * run (): AsyncGenerator<AnswerFrame, void, void> {
+  override async * run (): AsyncGenerator<ResponseFrame, void, void> {
     const column = { orgName: 'a', table: 't', orgTable: 't', schema: 's', catalog: 'def', characterSet: 45, columnLength: 20, columnType: 253, flags: 0, decimals: 0 }
     yield { kind: 'columns', columns: ['id', 'shade', 'note'].map(name => ({ ...column, name })) }
     yield { kind: 'rows', rows: this.#rows }
--- a/packages/load/src/benchmarks/limits.ts
+++ b/packages/load/src/benchmarks/limits.ts
@@ -2,7 +2,7 @@
 import type { LimitEffect } from '../../../proxy/src/limits/effects.ts'
 import { VirtualFleet } from '../../../proxy/src/limits/virtual-fleet.ts'
 import { computeLoadResult, startMovingLoad } from '../../../proxy/src/limits/virtual-load.ts'
-import { countAvailable, createBucket, type Decide, hashName, type Rate, reserveTokens, spendReserved, type TokenBucket } from '@camphorpitch/wire'
+import { countAvailableTokens, createBucket, type Decide, hashName, type Rate, reserveTokens, spendReservedTokens, type TokenBucket } from '@camphorpitch/wire'
 import { pack } from 'msgpackr'
 
 /**
@@ -59,9 +59,9 @@
 }
 
 function findFrom (bucket: TokenBucket, requestId: number, nowMs: number): LimitEffect {
-  if (countAvailable(bucket, nowMs) < 1) return { type: 'resolve', requestId, admission: { admitted: false, retryAfterMs: 1, reason: 'rate' } }
+  if (countAvailableTokens(bucket, nowMs) < 1) return { type: 'resolve', requestId, admission: { admitted: false, retryAfterMs: 1, reason: 'rate' } }
   reserveTokens(bucket, 1)
-  spendReserved(bucket, 1, nowMs)
+  spendReservedTokens(bucket, 1, nowMs)
   return { type: 'resolve', requestId, admission: { admitted: true } }
 }
 
--- a/packages/load/src/benchmarks/serving.ts
+++ b/packages/load/src/benchmarks/serving.ts
@@ -1,5 +1,5 @@
 import { performance } from 'node:perf_hooks'
-import { createLogger, MonotonicClock, type AnswerFrame, type Database, type LogPosition, type StatementRequest } from '@camphorpitch/wire'
+import { createLogger, MonotonicClock, type ResponseFrame, type Database, type LogPosition, type StatementRequest } from '@camphorpitch/wire'
 import mysql, { type Connection } from 'mysql2/promise'
 import { start, stop } from 'nact'
 import type { GroupView } from '../../../proxy/src/failover/group-view.ts'
@@ -85,8 +85,8 @@
   }
 }
 
-async function runFrames (service: DatabaseService, request: StatementRequest): Promise<AnswerFrame[]> {
-  const frames: AnswerFrame[] = []
+async function runFrames (service: DatabaseService, request: StatementRequest): Promise<ResponseFrame[]> {
+  const frames: ResponseFrame[] = []
   for await (const f of service.run(request)) frames.push(f)
   const last = frames.at(-1)
   if (last?.kind === 'refused' || last?.kind === 'failed') throw new Error(JSON.stringify(last))
--- a/packages/proxy/src/configuration/start-configuration.test.ts
+++ b/packages/proxy/src/configuration/start-configuration.test.ts
@@ -28,7 +28,7 @@
 
   sendTo (): void {}
   subscribe (_slice: string, handler: PeerHandler): void { this.#handlers.set(this.self.vm, handler) }
-  subscribeLoss (): void {}
+  subscribeLinkLoss (): void {}
 }
 
 class FakeMembership extends MembershipView {
--- a/packages/proxy/src/failover/durability-watch.ts
+++ b/packages/proxy/src/failover/durability-watch.ts
@@ -1,4 +1,4 @@
-import { formatWait, waitResultSchema, type LogPosition } from '@camphorpitch/wire'
+import { formatWaitStatement, waitResultSchema, type LogPosition } from '@camphorpitch/wire'
 import type { ControlConnection } from './control-connection.ts'
 import { addWaiter, createDurabilityState, findNextAwaitedPosition, recordReport, removeSettledWaiters, removeWaiter, type DurabilityOutcome, type LogReport } from './durability.ts'
 
@@ -73,7 +73,7 @@
 /** Waits at the instance for `position`; `null` when the instance did not respond or returned an error. */
 async function requestLogReport (connection: ControlConnection, position: LogPosition): Promise<LogReport | null> {
   try {
-    const text = await connection.query(formatWait(position, WAIT_TIMEOUT_MS), WAIT_TIMEOUT_MS + RESPONSE_MARGIN_MS)
+    const text = await connection.query(formatWaitStatement(position, WAIT_TIMEOUT_MS), WAIT_TIMEOUT_MS + RESPONSE_MARGIN_MS)
     const { reached, term, logged } = waitResultSchema.parse(JSON.parse(text))
     if (logged !== undefined) return { term, logged }
     return reached ? { term, logged: position } : { term, logged: { term: 0, index: 0 } }
--- a/packages/proxy/src/failover/group-view.test.ts
+++ b/packages/proxy/src/failover/group-view.test.ts
@@ -1,5 +1,5 @@
 import { startEndpointGroup, type RunningEndpoint } from '@camphorpitch/standins'
-import { createLogger, formatFence, hasReached, MonotonicClock, parseCommitInfo, type Database, type LogPosition } from '@camphorpitch/wire'
+import { createLogger, formatFenceStatement, hasReached, MonotonicClock, parseCommitInfo, type Database, type LogPosition } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import mysql, { type Connection, type ResultSetHeader, type RowDataPacket } from 'mysql2/promise'
 import { start as startSystem, stop as stopSystem, type ActorSystemRef } from 'nact'
@@ -156,7 +156,7 @@
     const database = await startGroup(3)
     for (const e of group) {
       const connection = await connectTo(e)
-      await connection.query(formatFence(7, 'vm-dead'))
+      await connection.query(formatFenceStatement(7, 'vm-dead'))
       connection.destroy()
     }
     const [first, second] = [startView(database, 0), startView(database, 0)]
--- a/packages/proxy/src/failover/start-group-view.ts
+++ b/packages/proxy/src/failover/start-group-view.ts
@@ -1,5 +1,5 @@
 import { randomBytes } from 'node:crypto'
-import { type Clock, comparePositions, type Database, formatFence, formatFollow, formatPromote, formatStatusQuery, type InstanceStatus, type Logger, type LogPosition, parseInstanceStatus, spawnSlice } from '@camphorpitch/wire'
+import { type Clock, comparePositions, type Database, formatFenceStatement, formatFollowStatement, formatPromoteStatement, formatStatusQuery, type InstanceStatus, type Logger, type LogPosition, parseInstanceStatus, spawnSlice } from '@camphorpitch/wire'
 import type { ActorSystemRef } from 'nact'
 import type { Metrics } from '../telemetry/metrics.ts'
 import { createControlConnection, type ControlConnection } from './control-connection.ts'
@@ -224,16 +224,16 @@
     const sentAtMs = this.#options.clock.readNow()
     if (effect.type === 'follow') {
       const { term, primary } = effect
-      this.#recordStatus(endpoint, await this.#sendCommand(endpoint, formatFollow(term, primary.endpoint, primary.host, primary.port)), sentAtMs)
+      this.#recordStatus(endpoint, await this.#sendCommand(endpoint, formatFollowStatement(term, primary.endpoint, primary.host, primary.port)), sentAtMs)
       return
     }
     const { term, promoter } = effect
     if (effect.type === 'fence') {
-      const status = await this.#sendElectionCommand(endpoint, formatFence(term, promoter), () => { this.#tell({ type: 'fenceRefused', endpoint, promoter }) })
+      const status = await this.#sendElectionCommand(endpoint, formatFenceStatement(term, promoter), () => { this.#tell({ type: 'fenceRefused', endpoint, promoter }) })
       if (status !== null) this.#tell({ type: 'fenceGranted', endpoint, promoter, sentAtMs, status })
       return
     }
-    const status = await this.#sendElectionCommand(endpoint, formatPromote(term, promoter), () => { this.#tell({ type: 'promoteFailed', endpoint, promoter }) })
+    const status = await this.#sendElectionCommand(endpoint, formatPromoteStatement(term, promoter), () => { this.#tell({ type: 'promoteFailed', endpoint, promoter }) })
     if (status === null) return
     this.#primaryByTerm.set(status.term, endpoint)
     this.#tell({ type: 'promoteAnswered', endpoint, promoter, sentAtMs, status })
--- a/packages/proxy/src/limits/ledger.ts
+++ b/packages/proxy/src/limits/ledger.ts
@@ -1,4 +1,4 @@
-import { computeRetryAfterMs, countAvailable, createBucket, isFull, releaseReserved, replaceRate, reserveTokens, spendReserved, type TokenBucket } from '@camphorpitch/wire'
+import { computeRetryAfterMs, countAvailableTokens, createBucket, isFull, releaseReservedTokens, replaceRate, reserveTokens, spendReservedTokens, type TokenBucket } from '@camphorpitch/wire'
 import type { Demand, DemandItem, Grant, GrantReport, Grants } from './messages.ts'
 import { findShareRate, type WorkspaceLimit } from './shares.ts'
 
@@ -84,11 +84,11 @@
     return { workspace, share, id: 0, tokens: 0, available: 0, retryAfterMs: NOT_COUNTING_RETRY_AFTER_MS, counting: false }
   }
   const { bucket } = account
-  const available = Math.max(0, countAvailable(bucket, nowMs))
+  const available = Math.max(0, countAvailableTokens(bucket, nowMs))
   const needed = Math.min(item.need, available)
   const tokens = needed + Math.min(item.extra, Math.floor((available - needed) * PREFETCH_FRACTION))
   const id = tokens === 0 ? 0 : openGrant(state, account, vm, item, tokens, nowMs)
-  const availableAfter = Math.max(0, countAvailable(bucket, nowMs))
+  const availableAfter = Math.max(0, countAvailableTokens(bucket, nowMs))
   return { workspace, share, id, tokens, available: availableAfter, retryAfterMs: availableAfter > 0 ? 0 : computeRetryAfterMs(bucket, nowMs), counting: true }
 }
 
@@ -133,9 +133,9 @@
   if (spent > 0) {
     grant.spent += spent
     grant.left -= spent
-    spendReserved(bucket, spent, nowMs - report.ageMs * (1 - MAX_CLOCK_DRIFT_FRACTION))
+    spendReservedTokens(bucket, spent, nowMs - report.ageMs * (1 - MAX_CLOCK_DRIFT_FRACTION))
   }
-  if (!report.open) releaseReserved(bucket, grant.left)
+  if (!report.open) releaseReservedTokens(bucket, grant.left)
   if (!report.open || grant.left === 0) state.grants.delete(grant.id)
 }
 
@@ -144,7 +144,7 @@
   for (const grant of state.grants.values()) {
     if (grant.expiresAtMs + REPORT_GRACE_MS > nowMs) break
     state.grants.delete(grant.id)
-    spendReserved(grant.account.bucket, grant.left, grant.expiresAtMs)
+    spendReservedTokens(grant.account.bucket, grant.left, grant.expiresAtMs)
   }
   if (nowMs - state.lastSweepAtMs < SWEEP_INTERVAL_MS) return
   state.lastSweepAtMs = nowMs
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -1,4 +1,4 @@
-import { countAvailable, createBucket, type Rate, reserveTokens, spendReserved } from '@camphorpitch/wire'
+import { countAvailableTokens, createBucket, type Rate, reserveTokens, spendReservedTokens } from '@camphorpitch/wire'
 import type { AdmissionRecord, VirtualFleet, VirtualVm } from './virtual-fleet.ts'
 
 const BUSY_VM_CHANGE_INTERVAL_MS = 2_000
@@ -50,10 +50,10 @@
   const bucket = createBucket(ratePerMs, rate.burst, startMs - rate.burst / ratePerMs)
   const result = { requests: workspaceRecords.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
   for (const { requestedAtMs, atMs, admission } of workspaceRecords) {
-    const isWithin = countAvailable(bucket, requestedAtMs) >= 1
+    const isWithin = countAvailableTokens(bucket, requestedAtMs) >= 1
     if (isWithin) {
       reserveTokens(bucket, 1)
-      spendReserved(bucket, 1, requestedAtMs)
+      spendReservedTokens(bucket, 1, requestedAtMs)
       result.within += 1
       if (!admission.admitted) result.wrongful += 1
     }
--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -1,4 +1,4 @@
-import { formatRefusal, RefusalCode, type AnswerFrame, type Clock, type Contract, type Logger, type Refusal, type StatementRequest } from '@camphorpitch/wire'
+import { formatRefusal, RefusalCode, type ResponseFrame, type Clock, type Contract, type Logger, type Refusal, type StatementRequest } from '@camphorpitch/wire'
 import type { ConfigurationView } from '../configuration/configuration-view.ts'
 import type { KeyVerdict } from '../keys/key-use.ts'
 import type { Limiter } from '../limits/limiter.ts'
@@ -128,7 +128,7 @@
   if (isPositionMissing) handleMissingPosition(session, statement)
 }
 
-function sendFrame (options: CommandRunnerOptions, client: ClientContext, frame: AnswerFrame): void {
+function sendFrame (options: CommandRunnerOptions, client: ClientContext, frame: ResponseFrame): void {
   const { session, socket } = client
   const inTransaction = session.transaction !== null
   switch (frame.kind) {
--- a/packages/proxy/src/listener/stalling-clients.test.ts
+++ b/packages/proxy/src/listener/stalling-clients.test.ts
@@ -1,6 +1,6 @@
 import { once } from 'node:events'
 import { connect } from 'node:net'
-import { createLogger, MonotonicClock, type AnswerFrame, type Contract } from '@camphorpitch/wire'
+import { createLogger, MonotonicClock, type ResponseFrame, type Contract } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import { createConnection } from 'mysql2'
 import { start, stop } from 'nact'
@@ -65,7 +65,7 @@
     let generatedFrames = 0
     const cell = Buffer.alloc(FRAME_BYTES, 65)
     async function * run (): AsyncGenerator<RoutedFrame, void, void> {
-      const emit = (frame: AnswerFrame): RoutedFrame => ({ vm: 'vm', frame })
+      const emit = (frame: ResponseFrame): RoutedFrame => ({ vm: 'vm', frame })
       yield emit({ kind: 'columns', columns: [{ name: 'a', orgName: 'a', table: '', orgTable: '', schema: '', catalog: 'def', characterSet: 63, columnLength: 9, columnType: 252, flags: 0, decimals: 0 }] })
       for (generatedFrames = 0; generatedFrames < FRAMES; generatedFrames++) yield emit({ kind: 'rows', rows: [[cell]] })
       yield emit({ kind: 'end' })
--- a/packages/proxy/src/membership/membership-actor.test.ts
+++ b/packages/proxy/src/membership/membership-actor.test.ts
@@ -31,7 +31,7 @@
     this.#handlers.set(slice, handler)
   }
 
-  override subscribeLoss (): void {}
+  override subscribeLinkLoss (): void {}
 
   deliver (from: Hello, slice: string, body: unknown): void {
     this.#handlers.get(slice)?.(from, structuredClone(body))
--- a/packages/proxy/src/membership/membership-actor.ts
+++ b/packages/proxy/src/membership/membership-actor.ts
@@ -72,7 +72,7 @@
       runEffect: effect => this.#runEffect(effect)
     })
     peers.subscribe(SLICE, (from, body) => this.#handleMessage(from.vm, body))
-    peers.subscribeLoss(vm => this.#slice.tell({ type: 'linkLost', vm }))
+    peers.subscribeLinkLoss(vm => this.#slice.tell({ type: 'linkLost', vm }))
     this.#timer = setInterval(() => this.#tellTick(), TICK_INTERVAL_MS)
     this.#tellTick()
   }
--- a/packages/proxy/src/retries/run-named-write.ts
+++ b/packages/proxy/src/retries/run-named-write.ts
@@ -1,4 +1,4 @@
-import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame, type Cell, type LogPosition, type Refusal } from '@camphorpitch/wire'
+import { describeError, parseCommitInfo, recordRequest, spendRetry, type ResponseFrame, type Cell, type LogPosition, type Refusal } from '@camphorpitch/wire'
 import type { EndpointConnection } from '../pool/endpoint-connection.ts'
 import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
 import { confirmCommit, confirmVisibleOnPrimary } from '../serving/confirm-position.ts'
@@ -25,11 +25,11 @@
 
 /** How one attempt ended: with the final answer for the client, or with what the answer is based on when no further attempt is made. */
 type AttemptOutcome =
-  | { kind: 'answer', frame: AnswerFrame }
+  | { kind: 'answer', frame: ResponseFrame }
   /** The write was rolled back or not begun. */
-  | { kind: 'notRun', frame: AnswerFrame }
+  | { kind: 'notRun', frame: ResponseFrame }
   /** No connection was available, so nothing was sent. */
-  | { kind: 'notSent', frame: AnswerFrame, isOverload: boolean }
+  | { kind: 'notSent', frame: ResponseFrame, isOverload: boolean }
   /** The commit was sent, but its response was lost or its position was not confirmed as durable. */
   | { kind: 'inDoubt', reason: string }
   /** The table of write records is missing; the transaction was rolled back before the write ran. */
@@ -37,11 +37,11 @@
 
 let namedWriteCount = 0
 
-function createAnswer (frame: AnswerFrame): AttemptOutcome {
+function createAnswer (frame: ResponseFrame): AttemptOutcome {
   return { kind: 'answer', frame }
 }
 
-function createRefusal (kind: Refusal['kind'], reason: string): AnswerFrame {
+function createRefusal (kind: Refusal['kind'], reason: string): ResponseFrame {
   return makeRefusal(kind, reason, kind === 'notRunRetry' ? RETRY_INTERVAL_MS : undefined)
 }
 
@@ -177,7 +177,7 @@
 }
 
 /** The answer when no further attempt is made. Once any attempt was in doubt, the outcome is unknown. */
-function createFinalFrame (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): AnswerFrame {
+function createFinalFrame (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): ResponseFrame {
   if (inDoubtReason !== null) return createRefusal('outcomeUnknown', `${inDoubtReason}; the same request id may be repeated`)
   if (outcome.kind === 'notRun' || outcome.kind === 'notSent') return outcome.frame
   return createRefusal('notRunRetry', 'the table of write records is missing')
@@ -189,7 +189,7 @@
  * attempt whose response was lost is therefore repeated at the current primary, where it either finds
  * the record of the earlier outcome or runs the write.
  */
-export async function * runNamedWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+export async function * runNamedWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
   if (canCommitImplicitly(request.text)) {
     yield createRefusal('notRunDenied', 'only INSERT, UPDATE, DELETE and REPLACE may carry a request id')
     return
--- a/packages/proxy/src/serving/database-service.test.ts
+++ b/packages/proxy/src/serving/database-service.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { createLogger, hasReached, MonotonicClock, pickLaterPosition, type AnswerFrame, type Database, type Endpoint, type InstanceStatus, type LogPosition, type StatementRequest } from '@camphorpitch/wire'
+import { createLogger, hasReached, MonotonicClock, pickLaterPosition, type ResponseFrame, type Database, type Endpoint, type InstanceStatus, type LogPosition, type StatementRequest } from '@camphorpitch/wire'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { startEndpointGroup, type RunningEndpoint } from '@camphorpitch/standins'
 import mysql from 'mysql2/promise'
@@ -190,13 +190,13 @@
     }
   }
 
-  async function run (text: string, options: Partial<StatementRequest> = {}): Promise<AnswerFrame[]> {
-    const frames: AnswerFrame[] = []
+  async function run (text: string, options: Partial<StatementRequest> = {}): Promise<ResponseFrame[]> {
+    const frames: ResponseFrame[] = []
     for await (const f of service.run(makeRequest(text, options))) frames.push(f)
     return frames
   }
 
-  function listCells (frames: AnswerFrame[]): Array<Array<string | null>> {
+  function listCells (frames: ResponseFrame[]): Array<Array<string | null>> {
     return frames.flatMap(f => f.kind === 'rows' ? f.rows.map(r => r.map(c => c === null ? null : Buffer.from(c).toString())) : [])
   }
 
@@ -226,13 +226,13 @@
   }
 
   /** Sends the same statement again until it succeeds; returns the frames of all attempts. */
-  async function repeatUntilOk (text: string, options: Partial<StatementRequest>): Promise<AnswerFrame[]> {
-    const responses: AnswerFrame[] = []
+  async function repeatUntilOk (text: string, options: Partial<StatementRequest>): Promise<ResponseFrame[]> {
+    const responses: ResponseFrame[] = []
     while (responses.at(-1)?.kind !== 'ok') responses.push(...await run(text, options))
     return responses
   }
 
-  function readRefusalKind (frames: AnswerFrame[]): string | undefined {
+  function readRefusalKind (frames: ResponseFrame[]): string | undefined {
     const last = frames.at(-1)
     return last?.kind === 'refused' ? last.refusal.kind : undefined
   }
--- a/packages/proxy/src/serving/run-read.ts
+++ b/packages/proxy/src/serving/run-read.ts
@@ -1,4 +1,4 @@
-import { describeError, recordRequest, spendRetry, type AnswerFrame } from '@camphorpitch/wire'
+import { describeError, recordRequest, spendRetry, type ResponseFrame } from '@camphorpitch/wire'
 import type { ReadTarget } from '../routing/select-read-target.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
 import { confirmVisibleOnReplica, confirmVisibleOnPrimary } from './confirm-position.ts'
@@ -15,7 +15,7 @@
  * `hasRun` is true when the read may have run. `hasBeenSent` is false when no statement was sent, so
  * that repeating the read adds no load on the endpoint.
  */
-type AttemptOutcome = { isFinal: true } | { isFinal: false, frame: AnswerFrame, hasRun: boolean, hasBeenSent: boolean }
+type AttemptOutcome = { isFinal: true } | { isFinal: false, frame: ResponseFrame, hasRun: boolean, hasBeenSent: boolean }
 
 /** A result of at most this many frames is buffered until it is confirmed, so that the read can be repeated without sending the client two results. */
 const MAX_BUFFERED_FRAMES = 2
@@ -27,11 +27,11 @@
 }
 
 /** Runs the read on one instance; yields `end` only after the entries it read are known to survive a change of primary. */
-async function * attemptRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
+async function * attemptRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget): AsyncGenerator<ResponseFrame, AttemptOutcome, void> {
   const lease = await acquireLease(context, request, target.endpoint, false)
   if (!lease.granted) return { isFinal: false, hasRun: false, hasBeenSent: false, frame: makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs) }
-  let bufferedFrames: AnswerFrame[] | null = []
-  let failure: AnswerFrame | undefined
+  let bufferedFrames: ResponseFrame[] | null = []
+  let failure: ResponseFrame | undefined
   try {
     for await (const part of runOnConnection(context, request, lease)) {
       if (part.kind === 'header' || part.kind === 'end') continue
@@ -57,7 +57,7 @@
 }
 
 /** Confirms the read after its last part; yields the buffered frames unless the read has to be repeated. */
-async function * finishRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget, bufferedFrames: AnswerFrame[] | null, failure: AnswerFrame | undefined): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
+async function * finishRead (context: ServingContext, request: AcceptedRequest, target: InstanceTarget, bufferedFrames: ResponseFrame[] | null, failure: ResponseFrame | undefined): AsyncGenerator<ResponseFrame, AttemptOutcome, void> {
   if (failure !== undefined) {
     if (bufferedFrames !== null) yield * bufferedFrames
     return { isFinal: true }
@@ -76,10 +76,10 @@
 }
 
 /** Runs a read on a replica or the primary; a read that has yielded nothing yet may be repeated on another instance. */
-export async function * runRead (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+export async function * runRead (context: ServingContext, request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
   recordRequest(context.retryBudget)
   const excluded = new Set<string>()
-  let refusal: AnswerFrame | undefined
+  let refusal: ResponseFrame | undefined
   let hasRun = false
   for (;;) {
     const target = await findReadTarget(context, request, excluded)
--- a/packages/proxy/src/serving/run-write.ts
+++ b/packages/proxy/src/serving/run-write.ts
@@ -1,4 +1,4 @@
-import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame } from '@camphorpitch/wire'
+import { describeError, parseCommitInfo, recordRequest, spendRetry, type ResponseFrame } from '@camphorpitch/wire'
 import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
 import { confirmCommit, confirmVisibleOnPrimary } from './confirm-position.ts'
@@ -11,7 +11,7 @@
 const MAX_RETRY_DELAY_MS = 50
 
 /** Converts an OK packet to the response once the commit is durable, and to a refusal when that is not confirmed before the request's deadline. */
-export async function confirmHeader (context: ServingContext, request: AcceptedRequest, endpoint: string, header: ResultHeader): Promise<AnswerFrame> {
+export async function confirmHeader (context: ServingContext, request: AcceptedRequest, endpoint: string, header: ResultHeader): Promise<ResponseFrame> {
   const commitPosition = parseCommitInfo(header.info)
   const position = commitPosition === null
     ? await confirmVisibleOnPrimary(context, request, endpoint)
@@ -21,10 +21,10 @@
 }
 
 /** How one attempt ended: the response was sent, or the statement is known not to have run; `hasBeenSent` tells whether it was sent to the endpoint. */
-type AttemptOutcome = 'responded' | { notRun: AnswerFrame, hasBeenSent: boolean }
+type AttemptOutcome = 'responded' | { notRun: ResponseFrame, hasBeenSent: boolean }
 
 /** Converts a part of the endpoint's response to frames; a `header` or `end` is confirmed first. */
-async function * convertPart (context: ServingContext, request: AcceptedRequest, endpoint: string, part: ResultPart): AsyncGenerator<AnswerFrame, void, void> {
+async function * convertPart (context: ServingContext, request: AcceptedRequest, endpoint: string, part: ResultPart): AsyncGenerator<ResponseFrame, void, void> {
   if (part.kind === 'header') {
     yield await confirmHeader(context, request, endpoint, part.header)
     return
@@ -42,7 +42,7 @@
   yield { kind: 'position', position }
 }
 
-async function * attemptWrite (context: ServingContext, request: AcceptedRequest, endpoint: string): AsyncGenerator<AnswerFrame, AttemptOutcome, void> {
+async function * attemptWrite (context: ServingContext, request: AcceptedRequest, endpoint: string): AsyncGenerator<ResponseFrame, AttemptOutcome, void> {
   const lease = await acquireLease(context, request, endpoint, false)
   if (!lease.granted) {
     const refusal = makeRefusal('notRunRetry', lease.reason, lease.retryAfterMs)
@@ -65,7 +65,7 @@
 }
 
 /** Runs a write on the primary; it is sent again only when it is known not to have run. */
-export async function * runWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+export async function * runWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
   recordRequest(context.retryBudget)
   for (;;) {
     const primary = await waitForPrimary(context, request, request.required)
--- a/packages/proxy/src/serving/start-database-service.ts
+++ b/packages/proxy/src/serving/start-database-service.ts
@@ -1,5 +1,5 @@
 import { randomBytes } from 'node:crypto'
-import { type AnswerFrame, type Clock, createRetryBudget, type Database, type Logger, type StatementRequest } from '@camphorpitch/wire'
+import { type ResponseFrame, type Clock, createRetryBudget, type Database, type Logger, type StatementRequest } from '@camphorpitch/wire'
 import type { ActorSystemRef } from 'nact'
 import type { GroupView } from '../failover/group-view.ts'
 import type { PlacementView } from '../membership/placement-view.ts'
@@ -107,12 +107,12 @@
     this.#transactions = new TransactionRunner(context, transactionIdPrefix, () => this.#resolveIfDrained())
   }
 
-  override run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+  override run (request: StatementRequest): AsyncGenerator<ResponseFrame, void, void> {
     const cancellation = createCancellation()
     return makeCancellable(this.#runCounted(request, cancellation), cancellation)
   }
 
-  async * #runCounted (request: StatementRequest, cancellation: Cancellation): AsyncGenerator<AnswerFrame, void, void> {
+  async * #runCounted (request: StatementRequest, cancellation: Cancellation): AsyncGenerator<ResponseFrame, void, void> {
     if (this.#isDraining && request.transactionId === null) {
       yield makeRefusal('notRunRetry', 'this VM is leaving', DRAIN_RETRY_AFTER_MS)
       return
@@ -126,7 +126,7 @@
     }
   }
 
-  #runAccepted (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+  #runAccepted (request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
     if (request.transactionId !== null) return this.#transactions.run(request)
     switch (request.class) {
       case 'begin': return this.#transactions.begin(request)
@@ -166,6 +166,6 @@
 }
 
 /** Responds to a COMMIT or ROLLBACK outside a transaction, which has no effect. */
-async function * respondOutsideTransaction (): AsyncGenerator<AnswerFrame, void, void> {
+async function * respondOutsideTransaction (): AsyncGenerator<ResponseFrame, void, void> {
   yield { kind: 'ok', affectedRows: 0, insertId: 0, position: null, transactionId: null }
 }
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -1,4 +1,4 @@
-import type { AnswerFrame, Contract, FleetSecret, LogPosition, Refusal, StatementClass } from '@camphorpitch/wire'
+import type { ResponseFrame, Contract, FleetSecret, LogPosition, Refusal, StatementClass } from '@camphorpitch/wire'
 import { classifyStatement, trimStatement } from './classify-statement.ts'
 import { dropPosition, recordPosition, type SessionState } from './state.ts'
 import { parseProxyCommand, type ProxyCommand } from './proxy-command.ts'
@@ -127,7 +127,7 @@
 }
 
 /** Updates the session's position and transaction from one frame of a response. */
-export function applyFrame (session: SessionState, statement: PlannedStatement, vm: string, frame: AnswerFrame): void {
+export function applyFrame (session: SessionState, statement: PlannedStatement, vm: string, frame: ResponseFrame): void {
   switch (frame.kind) {
     case 'ok': return applyOk(session, statement, vm, frame)
     case 'position': return recordPosition(session, statement.database, frame.position)
@@ -136,7 +136,7 @@
   }
 }
 
-function applyOk (session: SessionState, statement: PlannedStatement, vm: string, frame: AnswerFrame & { kind: 'ok' }): void {
+function applyOk (session: SessionState, statement: PlannedStatement, vm: string, frame: ResponseFrame & { kind: 'ok' }): void {
   if (frame.position !== null) recordPosition(session, statement.database, frame.position)
   session.transaction = frame.transactionId === null ? null : { database: statement.database, id: frame.transactionId, vm }
 }
--- a/packages/proxy/src/statements/database-service.ts
+++ b/packages/proxy/src/statements/database-service.ts
@@ -1,4 +1,4 @@
-import type { AnswerFrame, StatementRequest } from '@camphorpitch/wire'
+import type { ResponseFrame, StatementRequest } from '@camphorpitch/wire'
 
 /** Runs statements on the endpoints of one database, on a VM that serves it. */
 export abstract class DatabaseService {
@@ -7,7 +7,7 @@
    * them, so a slow consumer slows down reading from the endpoint. Returning the generator early
    * cancels the statement.
    */
-  abstract run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void>
+  abstract run (request: StatementRequest): AsyncGenerator<ResponseFrame, void, void>
   /** Whether the transaction is open on this service. A draining service still runs the statements of its open transactions. */
   abstract hasTransaction (transactionId: string): boolean
   /** Rolls back the transaction and closes its connection. */
--- a/packages/proxy/src/statements/forwarding.test.ts
+++ b/packages/proxy/src/statements/forwarding.test.ts
@@ -1,4 +1,4 @@
-import { type AnswerFrame, createLogger, MonotonicClock, type StatementRequest, WsPeerNetwork } from '@camphorpitch/wire'
+import { type ResponseFrame, createLogger, MonotonicClock, type StatementRequest, WsPeerNetwork } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import { PlacementView } from '../membership/placement-view.ts'
 import { DatabaseService } from './database-service.ts'
@@ -13,7 +13,7 @@
   yieldedRows = 0
   startedRequestIds: string[] = []
   resume: () => void = () => {}
-  override async * run (request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+  override async * run (request: StatementRequest): AsyncGenerator<ResponseFrame, void, void> {
     this.startedRequestIds.push(request.requestId)
     if (request.text === 'hang') await new Promise<void>(resolve => { this.resume = resolve })
     if (request.class !== 'read') return yield { kind: 'ok', affectedRows: 1, insertId: 5, position: { term: 1, index: 9 }, transactionId: null }
@@ -53,8 +53,8 @@
   return { requestId: 'r', sessionId: 's', workspace: 'w', database: 'd', text: 'x', class: 'read', required: null, maxAgeMs: 0, timeoutMs: 20_000, transactionId: null, writeId: null, ...fields }
 }
 
-async function collectFrames (router: StatementRouter, request: StatementRequest): Promise<AnswerFrame[]> {
-  const frames: AnswerFrame[] = []
+async function collectFrames (router: StatementRouter, request: StatementRequest): Promise<ResponseFrame[]> {
+  const frames: ResponseFrame[] = []
   for await (const { frame } of router.run(request, null)) frames.push(frame)
   return frames
 }
@@ -110,7 +110,7 @@
     expect(frames[0]?.kind).to.equal('columns')
     expect(frames.at(-2)?.kind).to.equal('end')
     expect(frames.at(-1)).to.deep.equal({ kind: 'position', position: { term: 1, index: 12 } })
-    const row = frames[1] as AnswerFrame & { kind: 'rows' }
+    const row = frames[1] as ResponseFrame & { kind: 'rows' }
     expect(Buffer.compare(row.rows[0]?.[0] as Uint8Array, cell)).to.equal(0)
   })
 
--- a/packages/proxy/src/statements/frame-channel.ts
+++ b/packages/proxy/src/statements/frame-channel.ts
@@ -1,4 +1,4 @@
-import type { AnswerFrame } from '@camphorpitch/wire'
+import type { ResponseFrame } from '@camphorpitch/wire'
 
 /** Frames that the sender may send before the receiver grants more credit. */
 export const INITIAL_CREDIT_FRAMES = 16
@@ -7,7 +7,7 @@
 
 /** The receiving end of one response from another VM, with credit-based flow control. */
 export class FrameChannel {
-  readonly #frames: AnswerFrame[] = []
+  readonly #frames: ResponseFrame[] = []
   readonly #grantCredit: (frames: number) => void
   #consumedSinceGrant = 0
   #hasEnded = false
@@ -20,7 +20,7 @@
   }
 
   /** Adds a received frame. The last message of a response may carry none (`null`); later ones are ignored. */
-  addFrame (frame: AnswerFrame | null, isLast: boolean): void {
+  addFrame (frame: ResponseFrame | null, isLast: boolean): void {
     if (this.#hasEnded) return
     if (frame !== null) this.#frames.push(frame)
     this.#hasEnded = isLast
@@ -40,7 +40,7 @@
    *
    * @throws the error given to `closeWithError`
    */
-  async * readFrames (): AsyncGenerator<AnswerFrame, void, void> {
+  async * readFrames (): AsyncGenerator<ResponseFrame, void, void> {
     while (true) {
       const frame = this.#frames.shift()
       if (frame !== undefined) {
--- a/packages/proxy/src/statements/remote-statements.ts
+++ b/packages/proxy/src/statements/remote-statements.ts
@@ -1,4 +1,4 @@
-import { type AnswerFrame, type LinkLoss, type PeerNetwork, type StatementMessage, statementMessageSchema, type StatementRequest } from '@camphorpitch/wire'
+import { type ResponseFrame, type LinkLoss, type PeerNetwork, type StatementMessage, statementMessageSchema, type StatementRequest } from '@camphorpitch/wire'
 import { StreamLostError, StreamNotStartedError } from './errors.ts'
 import { FrameChannel } from './frame-channel.ts'
 import { STATEMENTS_SLICE } from './statement-server.ts'
@@ -16,7 +16,7 @@
 
   constructor (peers: PeerNetwork) {
     this.#peers = peers
-    peers.subscribeLoss((vm, loss) => this.#handleLinkLoss(vm, loss))
+    peers.subscribeLinkLoss((vm, loss) => this.#handleLinkLoss(vm, loss))
   }
 
   /**
@@ -25,7 +25,7 @@
    * @throws StreamLostError if the link is lost before the response is complete; the statement may have run
    * @throws StreamNotStartedError if the VM is unreachable, so that the statement has not run
    */
-  async * run (vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+  async * run (vm: string, request: StatementRequest): AsyncGenerator<ResponseFrame, void, void> {
     const stream = this.#nextStream++
     const channel = new FrameChannel(frames => this.#send(vm, { type: 'credit', stream, frames }))
     this.#streams.set(stream, { vm, channel })
--- a/packages/proxy/src/statements/served-databases.test.ts
+++ b/packages/proxy/src/statements/served-databases.test.ts
@@ -1,4 +1,4 @@
-import { createLogger, type AnswerFrame, type Database } from '@camphorpitch/wire'
+import { createLogger, type ResponseFrame, type Database } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import type { ConfigurationView } from '../configuration/configuration-view.ts'
 import { PlacementView } from '../membership/placement-view.ts'
@@ -9,7 +9,7 @@
   open = new Set<string>()
   isStopped = false
   finishDrain: () => void = () => {}
-  override async * run (): AsyncGenerator<AnswerFrame, void, void> {}
+  override async * run (): AsyncGenerator<ResponseFrame, void, void> {}
   override hasTransaction (id: string): boolean { return this.open.has(id) }
   override abandon (): void {}
   override async drain (): Promise<void> { await new Promise<void>(resolve => { this.finishDrain = resolve }) }
--- a/packages/proxy/src/statements/statement-router.ts
+++ b/packages/proxy/src/statements/statement-router.ts
@@ -1,4 +1,4 @@
-import type { AnswerFrame, Clock, Logger, StatementRequest } from '@camphorpitch/wire'
+import type { ResponseFrame, Clock, Logger, StatementRequest } from '@camphorpitch/wire'
 import type { PlacementView } from '../membership/placement-view.ts'
 import type { FindService } from './database-service.ts'
 import { StreamLostError, StreamNotStartedError } from './errors.ts'
@@ -22,7 +22,7 @@
 /** One frame of a response, and the VM that sent it. */
 export interface RoutedFrame {
   vm: string
-  frame: AnswerFrame
+  frame: ResponseFrame
 }
 
 export interface StatementRouter {
@@ -82,13 +82,13 @@
   }
 }
 
-function runOnVm (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<AnswerFrame, void, void> {
+function runOnVm (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<ResponseFrame, void, void> {
   if (vm !== options.self) return options.remote.run(vm, request)
   const service = options.findService(request.database, request.transactionId)
   return service === undefined ? respondNotServing() : service.run(request)
 }
 
-async function * respondNotServing (): AsyncGenerator<AnswerFrame, void, void> {
+async function * respondNotServing (): AsyncGenerator<ResponseFrame, void, void> {
   yield { kind: 'notServing' }
 }
 
@@ -102,13 +102,13 @@
   return request.class === 'read' || request.class === 'begin' || request.writeId !== null
 }
 
-function createLinkLossRefusal (request: StatementRequest): AnswerFrame {
+function createLinkLossRefusal (request: StatementRequest): ResponseFrame {
   const isInTransaction = request.transactionId !== null && request.class !== 'commit'
   if (isInTransaction) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction was lost' } }
   return { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: 'the serving VM was lost before its answer was whole' } }
 }
 
-function createNoServingVmRefusal (request: StatementRequest): AnswerFrame {
+function createNoServingVmRefusal (request: StatementRequest): ResponseFrame {
   if (request.transactionId !== null) return { kind: 'refused', refusal: { kind: 'transactionLost', reason: 'the VM that held the transaction no longer serves it' } }
   return { kind: 'refused', refusal: { kind: 'notRunRetry', reason: 'no VM serves the database now', retryAfterMs: NO_SERVING_VM_RETRY_AFTER_MS } }
 }
--- a/packages/proxy/src/statements/statement-server.ts
+++ b/packages/proxy/src/statements/statement-server.ts
@@ -1,4 +1,4 @@
-import type { AnswerFrame, Logger, PeerNetwork, StatementMessage, StatementRequest } from '@camphorpitch/wire'
+import type { ResponseFrame, Logger, PeerNetwork, StatementMessage, StatementRequest } from '@camphorpitch/wire'
 import type { FindService } from './database-service.ts'
 import { INITIAL_CREDIT_FRAMES } from './frame-channel.ts'
 
@@ -14,7 +14,7 @@
 interface ServedStream {
   /** The VM that forwarded the statement. */
   vm: string
-  frames: AsyncGenerator<AnswerFrame, void, void>
+  frames: AsyncGenerator<ResponseFrame, void, void>
   /** Frames that may be sent before the receiver grants more. */
   credit: number
   isCancelled: boolean
@@ -29,7 +29,7 @@
 
   constructor (options: StatementServerOptions) {
     this.#options = options
-    options.peers.subscribeLoss(vm => this.#cancelStreamsFrom(vm))
+    options.peers.subscribeLinkLoss(vm => this.#cancelStreamsFrom(vm))
   }
 
   handleMessage (vm: string, message: Exclude<StatementMessage, { type: 'frame' }>): void {
@@ -102,7 +102,7 @@
     this.#sendFrame(vm, stream, { kind: 'refused', refusal: { kind: 'outcomeUnknown', reason: 'the serving VM failed' } }, true)
   }
 
-  #sendFrame (vm: string, stream: number, frame: AnswerFrame | null, last: boolean): void {
+  #sendFrame (vm: string, stream: number, frame: ResponseFrame | null, last: boolean): void {
     const message: StatementMessage = { type: 'frame', stream, frame, last }
     this.#options.peers.send(vm, STATEMENTS_SLICE, message)
   }
--- a/packages/proxy/src/transactions/run-transaction.ts
+++ b/packages/proxy/src/transactions/run-transaction.ts
@@ -1,4 +1,4 @@
-import { describeError, parseCommitInfo, recordRequest, spendRetry, type AnswerFrame, type Endpoint, type LogPosition } from '@camphorpitch/wire'
+import { describeError, parseCommitInfo, recordRequest, spendRetry, type ResponseFrame, type Endpoint, type LogPosition } from '@camphorpitch/wire'
 import type { ResultHeader, ResultPart } from '../pool/result-part-queue.ts'
 import { isNotRunError } from '../retries/classify-failure.ts'
 import { confirmCommit, confirmVisibleOnPrimary } from '../serving/confirm-position.ts'
@@ -25,7 +25,7 @@
  * `free` when nothing was sent, `budgeted` when the retry budget must allow it.
  */
 interface BeginAttempt {
-  frame: AnswerFrame
+  frame: ResponseFrame
   retry: 'never' | 'free' | 'budgeted'
 }
 
@@ -66,7 +66,7 @@
   }
 
   /** Begins a transaction on the primary; yields `ok` with the transaction's id, an error, or a refusal. */
-  async * begin (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+  async * begin (request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
     const context = this.#context
     recordRequest(context.retryBudget)
     for (;;) {
@@ -120,7 +120,7 @@
     }
   }
 
-  #addTransaction (request: AcceptedRequest, endpoint: Endpoint, lease: ConnectionLease): AnswerFrame {
+  #addTransaction (request: AcceptedRequest, endpoint: Endpoint, lease: ConnectionLease): ResponseFrame {
     const id = `${this.#idPrefix}-${++this.#createdCount}`
     this.#openTransactions.set(id, {
       id,
@@ -136,7 +136,7 @@
   }
 
   /** Runs a statement in the transaction that the request names, including COMMIT and ROLLBACK. */
-  async * run (request: AcceptedRequest): AsyncGenerator<AnswerFrame, void, void> {
+  async * run (request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
     const transaction = findTransaction(this.#openTransactions, request.transactionId ?? '', request.sessionId, request.workspace)
     if (transaction === undefined) {
       yield makeRefusal('transactionLost', 'the transaction is no longer open')
@@ -163,7 +163,7 @@
   }
 
   /** Yields the response and returns whether the transaction has ended. */
-  async * #runStatement (transaction: Transaction, request: AcceptedRequest): AsyncGenerator<AnswerFrame, boolean, void> {
+  async * #runStatement (transaction: Transaction, request: AcceptedRequest): AsyncGenerator<ResponseFrame, boolean, void> {
     try {
       for await (const part of runCancellable(this.#context, request, transaction.lease.connection, request.text)) {
         if (part.kind === 'header') return yield * this.#respondToHeader(transaction, request, part.header)
@@ -177,7 +177,7 @@
     }
   }
 
-  async * #respondToHeader (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): AsyncGenerator<AnswerFrame, boolean, void> {
+  async * #respondToHeader (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): AsyncGenerator<ResponseFrame, boolean, void> {
     const { affectedRows, insertId } = header
     const isEnd = request.class === 'commit' || request.class === 'rollback'
     if (isEnd || !transaction.lease.connection.isInTransaction()) {
@@ -189,7 +189,7 @@
   }
 
   /** Yields an error, and closes the connection if the error may have ended the transaction, so that no later statement runs outside it. */
-  async * #respondToError (transaction: Transaction, request: AcceptedRequest, part: FailedResultPart): AsyncGenerator<AnswerFrame, boolean, void> {
+  async * #respondToError (transaction: Transaction, request: AcceptedRequest, part: FailedResultPart): AsyncGenerator<ResponseFrame, boolean, void> {
     const isEnd = request.class === 'commit' || request.class === 'rollback' || isTransactionEndError(part.errno)
     if (isEnd || isNotRunError(part.errno)) transaction.lease.connection.close()
     if (isNotRunError(part.errno)) {
@@ -201,7 +201,7 @@
   }
 
   /** Acknowledges the end of a transaction only after everything it read or wrote is known to survive a change of primary. */
-  async #confirmEnd (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): Promise<AnswerFrame> {
+  async #confirmEnd (transaction: Transaction, request: AcceptedRequest, header: ResultHeader): Promise<ResponseFrame> {
     const commitPosition = parseCommitInfo(header.info)
     const position = commitPosition === null
       ? await confirmVisibleOnPrimary(this.#context, request, transaction.endpoint.endpoint)
--- a/packages/standins/src/endpoint/endpoint.test.ts
+++ b/packages/standins/src/endpoint/endpoint.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os'
 import { dirname, join } from 'node:path'
 import { expect } from 'chai'
-import { formatFence, formatFollow, formatPromote, formatWait, NOT_PRIMARY_ERRNO, parseCommitInfo, parseInstanceStatus, STALE_TERM_ERRNO, TOO_MANY_CONNECTIONS_ERRNO } from '@camphorpitch/wire'
+import { formatFenceStatement, formatFollowStatement, formatPromoteStatement, formatWaitStatement, NOT_PRIMARY_ERRNO, parseCommitInfo, parseInstanceStatus, STALE_TERM_ERRNO, TOO_MANY_CONNECTIONS_ERRNO } from '@camphorpitch/wire'
 import mysql, { type Connection, type ResultSetHeader, type RowDataPacket } from 'mysql2/promise'
 import { startEndpoint, startEndpointGroup, type RunningEndpoint } from './start-endpoint.ts'
 
@@ -67,7 +67,7 @@
     const reader = await openConnection(replica!)
     await writer.query('CREATE TABLE t (id INTEGER)')
     const [ok] = await writer.query<ResultSetHeader>('INSERT INTO t VALUES (1)')
-    const [waited] = await reader.query<RowDataPacket[]>(formatWait(parseCommitInfo(ok.info)!, 5_000))
+    const [waited] = await reader.query<RowDataPacket[]>(formatWaitStatement(parseCommitInfo(ok.info)!, 5_000))
     expect(JSON.parse(waited[0]!.status)).to.deep.equal({ reached: true, term: 1, logged: { term: 1, index: 2 } })
     const [rows] = await reader.query('SELECT id FROM t')
     expect(rows).to.deep.equal([{ id: 1 }])
@@ -92,26 +92,26 @@
     const [first, second, third] = await startGroup()
     const [old, next, last] = await Promise.all([first!, second!, third!].map(e => openConnection(e)))
     const [ok] = await old!.query<ResultSetHeader>('CREATE TABLE t (id INTEGER)')
-    for (const c of [next!, last!]) await c.query(formatWait(parseCommitInfo(ok.info)!, 5_000))
+    for (const c of [next!, last!]) await c.query(formatWaitStatement(parseCommitInfo(ok.info)!, 5_000))
     first!.applyFaults({ cut: { peers: ['db-2', 'db-3'] } })
     await old!.query('BEGIN')
     await old!.query('INSERT INTO t VALUES (1)')
     await old!.query('COMMIT')
     await old!.query('BEGIN')
     await old!.query('INSERT INTO t VALUES (2)')
-    await readStatus(next!, formatFence(2, 'vm-1'))
-    expect(await readErrno(next!.query(formatFence(2, 'vm-2')))).to.equal(STALE_TERM_ERRNO)
-    await readStatus(last!, formatFence(2, 'vm-1'))
-    expect((await readStatus(next!, formatPromote(2, 'vm-1'))).role).to.equal('primary')
-    for (const c of [old!, last!]) await readStatus(c, formatFollow(2, 'db-2', second!.host, second!.port))
+    await readStatus(next!, formatFenceStatement(2, 'vm-1'))
+    expect(await readErrno(next!.query(formatFenceStatement(2, 'vm-2')))).to.equal(STALE_TERM_ERRNO)
+    await readStatus(last!, formatFenceStatement(2, 'vm-1'))
+    expect((await readStatus(next!, formatPromoteStatement(2, 'vm-1'))).role).to.equal('primary')
+    for (const c of [old!, last!]) await readStatus(c, formatFollowStatement(2, 'db-2', second!.host, second!.port))
     first!.applyFaults({ cut: { peers: [] } })
     expect(await readErrno(old!.query('COMMIT'))).to.equal(NOT_PRIMARY_ERRNO)
-    await old!.query(formatWait({ term: 2, index: 2 }, 5_000))
+    await old!.query(formatWaitStatement({ term: 2, index: 2 }, 5_000))
     expect((await old!.query('SELECT id FROM t'))[0]).to.deep.equal([])
     const [written] = await next!.query<ResultSetHeader>('INSERT INTO t VALUES (3)')
     expect(parseCommitInfo(written.info)).to.deep.equal({ term: 2, index: 3 })
     for (const c of [old!, last!]) {
-      await c.query(formatWait({ term: 2, index: 3 }, 5_000))
+      await c.query(formatWaitStatement({ term: 2, index: 3 }, 5_000))
       expect((await c.query('SELECT id FROM t'))[0]).to.deep.equal([{ id: 3 }])
     }
   })
@@ -123,14 +123,14 @@
     const connection = await openConnection(first)
     await connection.query('CREATE TABLE t (id INTEGER)')
     await connection.query('INSERT INTO t VALUES (1)')
-    await readStatus(connection, formatFence(4, 'vm-1'))
+    await readStatus(connection, formatFenceStatement(4, 'vm-1'))
     await first.stop()
     const restarted = await startEndpoint(options)
     group = [restarted]
     const next = await openConnection(restarted)
-    expect(await readErrno(next.query(formatFence(4, 'vm-2')))).to.equal(STALE_TERM_ERRNO)
+    expect(await readErrno(next.query(formatFenceStatement(4, 'vm-2')))).to.equal(STALE_TERM_ERRNO)
     expect((await next.query('SELECT id FROM t'))[0]).to.deep.equal([{ id: 1 }])
-    expect(await readStatus(next, formatPromote(4, 'vm-1'))).to.deep.include({ role: 'primary', logged: { term: 4, index: 3 } })
+    expect(await readStatus(next, formatPromoteStatement(4, 'vm-1'))).to.deep.include({ role: 'primary', logged: { term: 4, index: 3 } })
     await rm(dirname(stateFile), { recursive: true })
   })
 
--- a/packages/wire/src/database/group-statements.ts
+++ b/packages/wire/src/database/group-statements.ts
@@ -24,17 +24,17 @@
  * Formats the statement that fences an instance: it raises the instance's term to `term`. The instance responds with
  * its status, or with `STALE_TERM_ERRNO`. At most one promoter per term succeeds.
  */
-export function formatFence (term: number, promoter: string): string {
+export function formatFenceStatement (term: number, promoter: string): string {
   return `GROUP FENCE TERM ${term} BY '${promoter}'`
 }
 
 /** Formats the statement that makes an instance the primary of a term for which the same promoter has fenced it. */
-export function formatPromote (term: number, promoter: string): string {
+export function formatPromoteStatement (term: number, promoter: string): string {
   return `GROUP PROMOTE TERM ${term} BY '${promoter}'`
 }
 
 /** Formats the statement that makes an instance a replica of `primary`, which listens at `host:port`, in `term`. */
-export function formatFollow (term: number, primary: string, host: string, port: number): string {
+export function formatFollowStatement (term: number, primary: string, host: string, port: number): string {
   return `GROUP FOLLOW '${primary}' AT '${host}:${port}' TERM ${term}`
 }
 
@@ -42,7 +42,7 @@
  * Formats the statement that waits up to `timeoutMs` milliseconds until the instance's log contains `position`,
  * unless the instance accepts a term newer than `position.term`. The instance responds with a `WaitResult`.
  */
-export function formatWait (position: LogPosition, timeoutMs: number): string {
+export function formatWaitStatement (position: LogPosition, timeoutMs: number): string {
   return `GROUP WAIT TERM ${position.term} INDEX ${position.index} TIMEOUT ${timeoutMs}`
 }
 
--- a/packages/wire/src/peer/peer-network.ts
+++ b/packages/wire/src/peer/peer-network.ts
@@ -5,7 +5,7 @@
  * `unreachable`: it could not be opened, so no message sent since the previous loss has arrived.
  */
 export type LinkLoss = 'closed' | 'unreachable'
-export type LossListener = (vm: string, loss: LinkLoss) => void
+export type LinkLossListener = (vm: string, loss: LinkLoss) => void
 export type PeerHandler = (from: Hello, body: unknown) => void
 
 /** Sends best-effort messages between the slices of different VMs. */
@@ -19,5 +19,5 @@
   /** Calls `handler` with each message to `slice`. */
   abstract subscribe (slice: string, handler: PeerHandler): void
   /** Calls `listener` when the link to a VM is lost. */
-  abstract subscribeLoss (listener: LossListener): void
+  abstract subscribeLinkLoss (listener: LinkLossListener): void
 }
--- a/packages/wire/src/peer/statement-messages.ts
+++ b/packages/wire/src/peer/statement-messages.ts
@@ -50,7 +50,7 @@
  * One part of the response to a statement. A result set consists of `columns`, any number of `rows`, then `end`; any
  * other response is one of the remaining kinds. For reads, `position` may follow `end` as the last frame.
  */
-export const answerFrameSchema = z.discriminatedUnion('kind', [
+export const responseFrameSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('columns'), columns: z.array(columnSchema) }),
   z.object({ kind: z.literal('rows'), rows: z.array(z.array(z.custom<Cell>())) }),
   z.object({ kind: z.literal('end') }),
@@ -72,13 +72,13 @@
   /** Not run: the receiving VM does not serve the database; another VM may serve it. */
   z.object({ kind: z.literal('notServing') })
 ])
-export type AnswerFrame = z.infer<typeof answerFrameSchema>
+export type ResponseFrame = z.infer<typeof responseFrameSchema>
 
 /** Messages of the `statements` slice between an entry VM and a serving VM. */
 export const statementMessageSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('run'), stream: z.number().int(), request: statementRequestSchema }),
   /** `frame` is `null` if the last message only ends the stream. */
-  z.object({ type: z.literal('frame'), stream: z.number().int(), frame: answerFrameSchema.nullable(), last: z.boolean() }),
+  z.object({ type: z.literal('frame'), stream: z.number().int(), frame: responseFrameSchema.nullable(), last: z.boolean() }),
   /** Flow control: the receiver has consumed `frames` more frames. */
   z.object({ type: z.literal('credit'), stream: z.number().int(), frames: z.number().int().positive() }),
   z.object({ type: z.literal('cancel'), stream: z.number().int() }),
--- a/packages/wire/src/peer/ws-peer-network.ts
+++ b/packages/wire/src/peer/ws-peer-network.ts
@@ -4,7 +4,7 @@
 import type { Envelope, Hello } from './envelope.ts'
 import { listenForPeers, openPeerLink, type LinkHandlers, type PeerLink, type PeerServer } from './link.ts'
 import { LinkRegistry } from './link-registry.ts'
-import { PeerNetwork, type LinkLoss, type LossListener, type PeerHandler } from './peer-network.ts'
+import { PeerNetwork, type LinkLoss, type LinkLossListener, type PeerHandler } from './peer-network.ts'
 
 /** Maximum number of messages that are queued until a link is open; further ones are dropped. */
 const MAX_QUEUED_MESSAGES = 1_000
@@ -36,7 +36,7 @@
   readonly #registry: LinkRegistry
   readonly #pendingLinks = new Map<string, PendingLink>()
   readonly #handlers = new Map<string, PeerHandler>()
-  readonly #lossListeners: LossListener[] = []
+  readonly #lossListeners: LinkLossListener[] = []
   readonly #linkHandlers: LinkHandlers
   readonly #timer: NodeJS.Timeout
   #server: PeerServer | undefined
@@ -91,7 +91,7 @@
     this.#handlers.set(slice, handler)
   }
 
-  override subscribeLoss (listener: LossListener): void {
+  override subscribeLinkLoss (listener: LinkLossListener): void {
     this.#lossListeners.push(listener)
   }
 
--- a/packages/wire/src/policy/token-bucket.ts
+++ b/packages/wire/src/policy/token-bucket.ts
@@ -25,7 +25,7 @@
 }
 
 /** Returns the number of whole tokens that may be granted now; negative if the burst was lowered below what is spent and reserved. */
-export function countAvailable (bucket: TokenBucket, nowMs: number): number {
+export function countAvailableTokens (bucket: TokenBucket, nowMs: number): number {
   return Math.floor(computeLevel(bucket, nowMs) + ROUNDING_TOLERANCE_TOKENS)
 }
 
@@ -39,13 +39,13 @@
 }
 
 /** Converts reserved tokens into tokens spent no later than `spentAtMs`, which may be in the past. */
-export function spendReserved (bucket: TokenBucket, tokens: number, spentAtMs: number): void {
+export function spendReservedTokens (bucket: TokenBucket, tokens: number, spentAtMs: number): void {
   bucket.reserved -= tokens
   bucket.fullAtMs = Math.max(bucket.fullAtMs, spentAtMs) + tokens / bucket.rate
 }
 
 /** Returns reserved tokens to the bucket that were not spent and will not be. */
-export function releaseReserved (bucket: TokenBucket, tokens: number): void {
+export function releaseReservedTokens (bucket: TokenBucket, tokens: number): void {
   bucket.reserved -= tokens
 }
 
--- a/packages/wire/src/status/gateway-status.ts
+++ b/packages/wire/src/status/gateway-status.ts
@@ -2,9 +2,9 @@
 import { logPositionSchema } from '../database/position.ts'
 
 /** Maximum number of workspaces in a status; those that use the largest fraction of their rate come first. */
-export const MOST_STATUS_WORKSPACES = 100
+export const MAX_STATUS_WORKSPACES = 100
 /** Maximum number of services in a status. */
-export const MOST_STATUS_SERVICES = 200
+export const MAX_STATUS_SERVICES = 200
 
 /** Reasons for which a gateway does not use an endpoint, or prefers another one. `silent` endpoints do not respond. */
 export const endpointDoubtSchema = z.enum(['draining', 'lagging', 'silent', 'refusing', 'avoided'])
