--- a/packages/load/src/benchmarks/callers.ts
+++ b/packages/load/src/benchmarks/callers.ts
@@ -10,10 +10,10 @@
 
 const WORKSPACE = 'callers'
 const DATABASE = 'orders'
-const SIZES = [0, 1_000, 2_000, 4_000]
-const BATCH = 100
+const CLIENT_COUNTS = [0, 1_000, 2_000, 4_000]
+const CONNECT_BATCH_SIZE = 100
 const SETTLE_MS = 4_000
-const READY_PAUSE_MS = 50
+const LOGIN_RETRY_DELAY_MS = 50
 const MAX_CONNECTIONS = 20_000
 
 async function readMetric (fleet: Fleet, vm: FleetVm, name: string): Promise<number> {
@@ -22,22 +22,22 @@
   return Number(line?.split(' ')[1])
 }
 
-async function openCallers (fleet: Fleet, vm: FleetVm, key: string, count: number): Promise<Connection[]> {
-  const opened: Connection[] = []
-  while (opened.length < count) {
-    const size = Math.min(BATCH, count - opened.length)
-    const open = async () => await createConnection({ host: fleet.host, port: vm.callersPort, user: WORKSPACE, password: key, database: DATABASE })
-    opened.push(...await Promise.all(Array.from({ length: size }, open)))
+async function openClients (fleet: Fleet, vm: FleetVm, key: string, count: number): Promise<Connection[]> {
+  const clients: Connection[] = []
+  while (clients.length < count) {
+    const batchSize = Math.min(CONNECT_BATCH_SIZE, count - clients.length)
+    const openClient = async () => await createConnection({ host: fleet.host, port: vm.callersPort, user: WORKSPACE, password: key, database: DATABASE })
+    clients.push(...await Promise.all(Array.from({ length: batchSize }, openClient)))
   }
-  return opened
+  return clients
 }
 
 async function waitForLogin (fleet: Fleet, vm: FleetVm, key: string): Promise<void> {
   for (;;) {
-    const opened = await openCallers(fleet, vm, key, 1).catch(() => [])
-    for (const c of opened) c.destroy()
-    if (opened.length > 0) return
-    await new Promise(resolve => setTimeout(resolve, READY_PAUSE_MS))
+    const clients = await openClients(fleet, vm, key, 1).catch(() => [])
+    for (const c of clients) c.destroy()
+    if (clients.length > 0) return
+    await new Promise(resolve => setTimeout(resolve, LOGIN_RETRY_DELAY_MS))
   }
 }
 
@@ -46,20 +46,20 @@
   const vm = fleet.vms[0] as FleetVm
   const { key } = await createWorkspace(fleet, { workspace: WORKSPACE, databases: [DATABASE], rate: { statementsPerSecond: 1_000, burst: 1_000 }, maxConnectionsPerVm: MAX_CONNECTIONS })
   await waitForLogin(fleet, vm, key)
-  let open = 0
-  let base = 0
-  for (const callers of SIZES) {
-    await openCallers(fleet, vm, key, callers - open)
-    open = callers
+  let openCount = 0
+  let idleResidentBytes = 0
+  for (const callers of CLIENT_COUNTS) {
+    await openClients(fleet, vm, key, callers - openCount)
+    openCount = callers
     await new Promise(resolve => setTimeout(resolve, SETTLE_MS))
     const cpuBefore = await readMetric(fleet, vm, 'process_cpu_seconds_total')
     await new Promise(resolve => setTimeout(resolve, SETTLE_MS))
     const cpuSeconds = await readMetric(fleet, vm, 'process_cpu_seconds_total') - cpuBefore
     const residentBytes = await readMetric(fleet, vm, 'process_resident_memory_bytes')
     const heapBytes = await readMetric(fleet, vm, 'nodejs_heap_size_used_bytes')
-    if (callers === 0) base = residentBytes
-    const perCaller = callers === 0 ? 0 : Math.round((residentBytes - base) / callers)
-    process.stdout.write(`${JSON.stringify({ benchmark: 'callers', callers, residentMegabytes: Math.round(residentBytes / 1e6), heapMegabytes: Math.round(heapBytes / 1e6), residentBytesPerCaller: perCaller, cpuPercent: Number((100 * cpuSeconds / (SETTLE_MS / 1_000)).toFixed(2)) })}\n`)
+    if (callers === 0) idleResidentBytes = residentBytes
+    const residentBytesPerClient = callers === 0 ? 0 : Math.round((residentBytes - idleResidentBytes) / callers)
+    process.stdout.write(`${JSON.stringify({ benchmark: 'callers', callers, residentMegabytes: Math.round(residentBytes / 1e6), heapMegabytes: Math.round(heapBytes / 1e6), residentBytesPerCaller: residentBytesPerClient, cpuPercent: Number((100 * cpuSeconds / (SETTLE_MS / 1_000)).toFixed(2)) })}\n`)
   }
 } finally {
   await fleet.stop()
--- a/packages/load/src/benchmarks/configuration.ts
+++ b/packages/load/src/benchmarks/configuration.ts
@@ -17,11 +17,11 @@
 
 const DEFAULT_SIZES = [9, 50, 200]
 const FAILURE_DOMAINS = 9
-const SETTLE_MS = 20_000
-const IDLE_MS = 30_000
-const CHANGES = 20
+const SETTLE_DURATION_MS = 20_000
+const IDLE_DURATION_MS = 30_000
+const CHANGE_COUNT = 20
 const CHANGE_INTERVAL_MS = 7_000
-const OBJECTS = 5_000
+const OBJECT_COUNT = 5_000
 
 const contract = {
   workspace: 'bergen-workshop',
@@ -38,7 +38,7 @@
   cpuMs: number
 }
 
-interface Measured {
+interface MeasuredFleet {
   fleet: FakeFleet
   usage: Usage
   /** Virtual time at which each VM put the last change in force. */
@@ -51,19 +51,19 @@
   messagesPerVm: number
 }
 
-function createMeasuredFleet (vms: number): Measured {
+function createMeasuredFleet (vms: number): MeasuredFleet {
   const usage: Usage = { messages: 0, bytes: 0, cpuMs: 0 }
   const inForceAtMs = new Map<string, number>()
   const decide: DecideConfiguration = (state, message, nowMs) => {
-    const beganAt = performance.now()
+    const startedAtMs = performance.now()
     const step = decideConfiguration(state, message, nowMs)
-    usage.cpuMs += performance.now() - beganAt
+    usage.cpuMs += performance.now() - startedAtMs
     return step
   }
   const handleSend = (_from: FakeVm, _to: string, body: unknown) => {
-    const beganAt = performance.now()
+    const startedAtMs = performance.now()
     usage.bytes += pack({ slice: 'configuration', body }).length
-    usage.cpuMs += performance.now() - beganAt
+    usage.cpuMs += performance.now() - startedAtMs
     usage.messages += 1
   }
   const fleet: FakeFleet = new FakeFleet({ vms, failureDomains: FAILURE_DOMAINS, seed: vms, decide, handleSend, onPublish: vm => inForceAtMs.set(vm.name, fleet.nowMs) })
@@ -71,54 +71,54 @@
 }
 
 /** Makes changes one after the other, and measures how long each takes to be in force on every VM. */
-function measureChanges ({ fleet, usage, inForceAtMs }: Measured): Dissemination {
+function measureChanges ({ fleet, usage, inForceAtMs }: MeasuredFleet): Dissemination {
   const delays: number[] = []
   const messagesBefore = usage.messages
-  for (let i = 0; i < CHANGES; i++) {
+  for (let i = 0; i < CHANGE_COUNT; i++) {
     inForceAtMs.clear()
-    const beganAtMs = fleet.nowMs
+    const writtenAtMs = fleet.nowMs
     fleet.service.writeObject('contract', 'bergen-workshop', { ...contract, statementTimeoutMs: 1_000 + i }, fleet.nowMs)
     fleet.runFor(CHANGE_INTERVAL_MS)
-    for (const vm of fleet.vms) delays.push((inForceAtMs.get(vm.name) ?? Infinity) - beganAtMs)
+    for (const vm of fleet.vms) delays.push((inForceAtMs.get(vm.name) ?? Infinity) - writtenAtMs)
   }
   delays.sort((a, b) => a - b)
-  const messagesPerVm = (usage.messages - messagesBefore) / fleet.vms.length / CHANGES
+  const messagesPerVm = (usage.messages - messagesBefore) / fleet.vms.length / CHANGE_COUNT
   return { medianMs: delays[Math.floor(delays.length / 2)] ?? 0, maxMs: delays.at(-1) ?? 0, messagesPerVm }
 }
 
 function measureFleet (vms: number) {
-  const measured = createMeasuredFleet(vms)
-  const { fleet, usage } = measured
-  fleet.runFor(SETTLE_MS)
+  const measuredFleet = createMeasuredFleet(vms)
+  const { fleet, usage } = measuredFleet
+  fleet.runFor(SETTLE_DURATION_MS)
   Object.assign(usage, { messages: 0, bytes: 0, cpuMs: 0 })
-  const callsBefore = fleet.service.calls
+  const serviceCallsBefore = fleet.service.calls
   const ages: number[] = []
-  for (let at = 0; at < IDLE_MS; at += 1_000) {
+  for (let elapsedMs = 0; elapsedMs < IDLE_DURATION_MS; elapsedMs += 1_000) {
     fleet.runFor(1_000)
     for (const vm of fleet.vms) ages.push(computeAgeMs(vm.state, fleet.nowMs))
   }
   ages.sort((a, b) => a - b)
-  const vmSeconds = vms * IDLE_MS / 1_000
+  const vmSeconds = vms * IDLE_DURATION_MS / 1_000
   const idle = {
     messagesPerVmSecond: round(usage.messages / vmSeconds),
     bytesPerVmSecond: round(usage.bytes / vmSeconds),
     cpuMicrosPerVmSecond: round(usage.cpuMs * 1_000 / vmSeconds),
-    serviceCallsPerSecond: round((fleet.service.calls - callsBefore) / (IDLE_MS / 1_000)),
+    serviceCallsPerSecond: round((fleet.service.calls - serviceCallsBefore) / (IDLE_DURATION_MS / 1_000)),
     ageMedianMs: round(ages[Math.floor(ages.length / 2)] ?? 0),
     ageMaxMs: round(ages.at(-1) ?? 0)
   }
   const idleMessages = idle.messagesPerVmSecond * CHANGE_INTERVAL_MS / 1_000
-  const calm = measureChanges(measured)
+  const connectedChanges = measureChanges(measuredFleet)
   const watchers = [...fleet.vms[0]?.state.watchers ?? []]
   for (const w of watchers.slice(1)) fleet.cutFromService.add(w)
-  const cut = measureChanges(measured)
+  const singleWatcherChanges = measureChanges(measuredFleet)
   return {
     vms,
     ...idle,
-    changeMedianMs: calm.medianMs,
-    changeMaxMs: calm.maxMs,
-    messagesPerVmChange: round(calm.messagesPerVm - idleMessages),
-    changeMaxOneWatcherMs: cut.maxMs
+    changeMedianMs: connectedChanges.medianMs,
+    changeMaxMs: connectedChanges.maxMs,
+    messagesPerVmChange: round(connectedChanges.messagesPerVm - idleMessages),
+    changeMaxOneWatcherMs: singleWatcherChanges.maxMs
   }
 }
 
@@ -127,18 +127,18 @@
   setFlagsFromString('--expose-gc')
   const collectGarbage = runInNewContext('gc') as () => void
   const values = createObjectValues()
-  const raw: unknown[] = []
+  const rawObjects: unknown[] = []
   collectGarbage()
-  const before = process.memoryUsage().heapUsed
-  for (let i = 1; i <= OBJECTS; i++) {
+  const heapBytesBefore = process.memoryUsage().heapUsed
+  for (let i = 1; i <= OBJECT_COUNT; i++) {
     const name = `workspace-${i}`
     const object = { kind: 'contract', name, version: 1, revision: i, value: JSON.parse(JSON.stringify({ ...contract, workspace: name })) as unknown }
-    raw.push(object)
+    rawObjects.push(object)
     applyValue(values, object)
   }
   collectGarbage()
-  const bytes = (process.memoryUsage().heapUsed - before) / raw.length
-  return values.contract.size === OBJECTS ? Math.round(bytes) : NaN
+  const bytesPerObject = (process.memoryUsage().heapUsed - heapBytesBefore) / rawObjects.length
+  return values.contract.size === OBJECT_COUNT ? Math.round(bytesPerObject) : NaN
 }
 
 function round (value: number): number {
--- a/packages/load/src/benchmarks/failover.ts
+++ b/packages/load/src/benchmarks/failover.ts
@@ -10,11 +10,11 @@
  * until a second instance holds a write. Run `npm run build` first; prints a table and JSON.
  */
 
-const GAP_RUNS = 8
-const VIEWS = 2
-const WRITES = 300
-const PROBES = 1_000
-const DECISION_ROUNDS = 20
+const WRITE_GAP_RUNS = 8
+const VIEW_COUNT = 2
+const WRITES_PER_MODE = 300
+const PROBE_COUNT = 1_000
+const PROBE_ROUNDS = 20
 const GROUP_COUNTS = [100, 400, 1_600]
 const USER = 'camphorpitch'
 const REPLICATION_DELAYS_MS = [0, 5, 20]
@@ -23,7 +23,7 @@
 type View = ReturnType<typeof startGroupView>
 type StageTimes = Record<'detected' | 'fenced' | 'promoted' | 'routed' | 'acknowledged', number>
 
-interface Watcher {
+interface ObservedView {
   view: View
   stages: Array<{ stage: string, atMs: number }>
   stop: () => void
@@ -36,12 +36,12 @@
   return { database: 'orders', endpoints, user: USER, password: '' }
 }
 
-function startWatcher (database: Database, rank: number): Watcher {
-  const stages: Watcher['stages'] = []
-  const record = (_message: string, fields?: { stage?: string }): void => {
+function startObservedView (database: Database, rank: number): ObservedView {
+  const stages: ObservedView['stages'] = []
+  const recordStage = (_message: string, fields?: { stage?: string }): void => {
     if (fields?.stage !== undefined) stages.push({ stage: fields.stage, atMs: performance.now() })
   }
-  const logger = { info: record, debug: () => {}, warn: () => {}, error: console.error } as unknown as Logger
+  const logger = { info: recordStage, debug: () => {}, warn: () => {}, error: console.error } as unknown as Logger
   const system = startSystem()
   const view = startGroupView({ system, clock: new MonotonicClock(), logger, database, vm: `vm-${rank}`, incarnation: 1, readRank: () => rank })
   return {
@@ -64,7 +64,7 @@
   return await createConnection({ host, port, user: USER, connectTimeout: WRITE_TIMEOUT_MS })
 }
 
-async function write (connection: Connection, sql: string): Promise<LogPosition> {
+async function executeWrite (connection: Connection, sql: string): Promise<LogPosition> {
   const [ok] = await connection.query<ResultSetHeader>({ sql, timeout: WRITE_TIMEOUT_MS })
   return parseCommitInfo(ok.info)!
 }
@@ -73,7 +73,7 @@
   for (;;) {
     const connection = await openPrimary(view).catch(() => null)
     if (connection === null) continue
-    const position = await write(connection, sql).catch(() => null)
+    const position = await executeWrite(connection, sql).catch(() => null)
     connection.destroy()
     if (position !== null && await view.waitDurable(position, WRITE_TIMEOUT_MS)) return position
   }
@@ -87,73 +87,73 @@
   await fetch(`${endpoint.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ freeze: true }) })
 }
 
-async function measureGap (fault: 'kill' | 'freeze'): Promise<StageTimes> {
+async function measureWriteGap (fault: 'kill' | 'freeze'): Promise<StageTimes> {
   const fleet = await startFleet({ vms: 0, endpoint: { replicationDelayMs: 5 } })
-  const watchers = Array.from({ length: VIEWS }, (_, i) => startWatcher(describeGroup(fleet), i))
-  const { view } = watchers[0]!
+  const observedViews = Array.from({ length: VIEW_COUNT }, (_, i) => startObservedView(describeGroup(fleet), i))
+  const { view } = observedViews[0]!
   await writeDurably(view, 'CREATE TABLE t (id INTEGER)')
-  await waitUntil(() => watchers.every(w => w.view.findPrimary() !== undefined))
-  const startMs = performance.now()
+  await waitUntil(() => observedViews.every(v => v.view.findPrimary() !== undefined))
+  const faultAtMs = performance.now()
   await applyFault(fleet.endpoints[0]!, fault)
-  const readStage = (stage: string): number => Math.min(...watchers.flatMap(w => w.stages).filter(s => s.stage === stage && s.atMs > startMs).map(s => s.atMs)) - startMs
-  const routed = waitUntil(() => watchers.every(w => (w.view.findPrimary()?.term ?? 0) > 1)).then(() => performance.now() - startMs)
+  const findStageMs = (stage: string): number => Math.min(...observedViews.flatMap(v => v.stages).filter(s => s.stage === stage && s.atMs > faultAtMs).map(s => s.atMs)) - faultAtMs
+  const routed = waitUntil(() => observedViews.every(v => (v.view.findPrimary()?.term ?? 0) > 1)).then(() => performance.now() - faultAtMs)
   await writeDurably(view, 'INSERT INTO t VALUES (1)')
-  const acknowledged = performance.now() - startMs
-  const times = { detected: readStage('electionStarted'), fenced: readStage('promoting'), promoted: readStage('promoted'), routed: await routed, acknowledged }
-  for (const w of watchers) w.stop()
+  const acknowledged = performance.now() - faultAtMs
+  const times = { detected: findStageMs('electionStarted'), fenced: findStageMs('promoting'), promoted: findStageMs('promoted'), routed: await routed, acknowledged }
+  for (const v of observedViews) v.stop()
   await fleet.stop()
   return times
 }
 
 async function measureWrites (replicationDelayMs: number): Promise<Record<string, number>> {
   const fleet = await startFleet({ vms: 0, endpoint: { replicationDelayMs } })
-  const watcher = startWatcher(describeGroup(fleet), 0)
-  await writeDurably(watcher.view, 'CREATE TABLE t (id INTEGER)')
-  const connection = await openPrimary(watcher.view)
-  const plain: number[] = []
-  const durable: number[] = []
-  for (let i = 0; i < WRITES * 2; i++) {
+  const observedView = startObservedView(describeGroup(fleet), 0)
+  await writeDurably(observedView.view, 'CREATE TABLE t (id INTEGER)')
+  const connection = await openPrimary(observedView.view)
+  const plainTimesMs: number[] = []
+  const durableTimesMs: number[] = []
+  for (let i = 0; i < WRITES_PER_MODE * 2; i++) {
     const isDurable = i % 2 === 1
-    const startMs = performance.now()
-    const position = await write(connection, `INSERT INTO t VALUES (${i})`)
-    if (isDurable) await watcher.view.waitDurable(position, WRITE_TIMEOUT_MS)
-    const times = isDurable ? durable : plain
-    times.push(performance.now() - startMs)
+    const startedAtMs = performance.now()
+    const position = await executeWrite(connection, `INSERT INTO t VALUES (${i})`)
+    if (isDurable) await observedView.view.waitDurable(position, WRITE_TIMEOUT_MS)
+    const timesMs = isDurable ? durableTimesMs : plainTimesMs
+    timesMs.push(performance.now() - startedAtMs)
   }
   connection.destroy()
-  watcher.stop()
+  observedView.stop()
   await fleet.stop()
-  return { replicationDelayMs, plainP50: pickQuantile(plain, 0.5), plainP99: pickQuantile(plain, 0.99), durableP50: pickQuantile(durable, 0.5), durableP99: pickQuantile(durable, 0.99) }
+  return { replicationDelayMs, plainP50: pickQuantile(plainTimesMs, 0.5), plainP99: pickQuantile(plainTimesMs, 0.99), durableP50: pickQuantile(durableTimesMs, 0.5), durableP99: pickQuantile(durableTimesMs, 0.99) }
 }
 
 /** CPU of this process and bytes on the wire for one probe of one instance. */
 async function measureProbe (): Promise<Record<string, number>> {
   const fleet = await startFleet({ vms: 0 })
-  const watcher = startWatcher(describeGroup(fleet), 0)
-  await writeDurably(watcher.view, 'CREATE TABLE t (id INTEGER)')
-  const name = fleet.endpoints[1]!.endpoint
-  const probe = async (count: number): Promise<void> => {
-    for (let i = 0; i < count; i++) await watcher.view.probeInstance(name)
+  const observedView = startObservedView(describeGroup(fleet), 0)
+  await writeDurably(observedView.view, 'CREATE TABLE t (id INTEGER)')
+  const endpointName = fleet.endpoints[1]!.endpoint
+  const runProbes = async (count: number): Promise<void> => {
+    for (let i = 0; i < count; i++) await observedView.view.probeInstance(endpointName)
   }
-  await probe(PROBES)
-  const cpu = process.cpuUsage()
-  const startMs = performance.now()
-  await probe(PROBES)
-  const { user, system } = process.cpuUsage(cpu)
-  const roundTripMs = (performance.now() - startMs) / PROBES
+  await runProbes(PROBE_COUNT)
+  const cpuBefore = process.cpuUsage()
+  const startedAtMs = performance.now()
+  await runProbes(PROBE_COUNT)
+  const { user, system } = process.cpuUsage(cpuBefore)
+  const roundTripMs = (performance.now() - startedAtMs) / PROBE_COUNT
   const bytes = await measureProbeBytes(fleet, fleet.endpoints[1]!)
-  watcher.stop()
+  observedView.stop()
   await fleet.stop()
-  return { cpuMicroseconds: (user + system) / PROBES, roundTripMs, bytes }
+  return { cpuMicroseconds: (user + system) / PROBE_COUNT, roundTripMs, bytes }
 }
 
 async function measureProbeBytes (fleet: Fleet, endpoint: FleetEndpoint): Promise<number> {
   const connection = await createConnection({ host: fleet.host, port: endpoint.port, user: USER })
   const { stream } = (connection as unknown as { connection: { stream: { bytesRead: number, bytesWritten: number } } }).connection
   await connection.query('SHOW GROUP STATUS')
-  const before = stream.bytesRead + stream.bytesWritten
+  const bytesBefore = stream.bytesRead + stream.bytesWritten
   await connection.query('SHOW GROUP STATUS')
-  const bytes = stream.bytesRead + stream.bytesWritten - before
+  const bytes = stream.bytesRead + stream.bytesWritten - bytesBefore
   connection.destroy()
   return bytes
 }
@@ -166,18 +166,18 @@
   }
   const endpoints: Endpoint[] = [0, 1, 2].map(i => ({ endpoint: `db-${i}`, host: '127.0.0.1', port: 1, failureDomain: 'a', region: 'a', maxConnections: 20, slots: 3 }))
   global.gc?.()
-  const before = process.memoryUsage().heapUsed
+  const heapBytesBefore = process.memoryUsage().heapUsed
   const states: FailoverState[] = Array.from({ length: groups }, (_, i) => createFailoverState({ database: `d${i}`, endpoints, promoterId: 'vm-1.1', seed: i, nowMs: 0 }))
-  const startMs = performance.now()
-  for (let round = 1; round <= DECISION_ROUNDS; round++) {
+  const startedAtMs = performance.now()
+  for (let round = 1; round <= PROBE_ROUNDS; round++) {
     for (const s of states) {
       for (const [i, { endpoint }] of endpoints.entries()) decideFailover(s, { type: 'probeAnswered', endpoint, sentAtMs: round, status: createStatus(i) }, round)
     }
   }
-  const microseconds = (performance.now() - startMs) * 1_000 / (groups * DECISION_ROUNDS * endpoints.length)
+  const microseconds = (performance.now() - startedAtMs) * 1_000 / (groups * PROBE_ROUNDS * endpoints.length)
   global.gc?.()
-  const bytes = (process.memoryUsage().heapUsed - before) / states.length
-  return { groups, bytesPerGroup: Math.round(bytes), microsecondsPerAnswer: round(microseconds) }
+  const heapBytes = (process.memoryUsage().heapUsed - heapBytesBefore) / states.length
+  return { groups, bytesPerGroup: Math.round(heapBytes), microsecondsPerAnswer: round(microseconds) }
 }
 
 function pickQuantile (values: readonly number[], quantile: number): number {
@@ -189,19 +189,19 @@
   return Math.round(value * 100) / 100
 }
 
-function describeGaps (fault: string, gaps: readonly StageTimes[]): Record<string, number | string> {
+function describeWriteGaps (fault: string, gaps: readonly StageTimes[]): Record<string, number | string> {
   const stages = Object.keys(gaps[0]!) as Array<keyof StageTimes>
   const columns = stages.map(s => [`${s} p50/max ms`, `${Math.round(pickQuantile(gaps.map(g => g[s]), 0.5))}/${Math.round(Math.max(...gaps.map(g => g[s])))}`])
   return { fault, runs: gaps.length, ...Object.fromEntries(columns) }
 }
 
-async function measureGaps (fault: 'kill' | 'freeze'): Promise<Record<string, number | string>> {
+async function measureWriteGaps (fault: 'kill' | 'freeze'): Promise<Record<string, number | string>> {
   const gaps: StageTimes[] = []
-  for (let i = 0; i < GAP_RUNS; i++) gaps.push(await measureGap(fault))
-  return describeGaps(fault, gaps)
+  for (let i = 0; i < WRITE_GAP_RUNS; i++) gaps.push(await measureWriteGap(fault))
+  return describeWriteGaps(fault, gaps)
 }
 
-const gaps = [await measureGaps('kill'), await measureGaps('freeze')]
+const gaps = [await measureWriteGaps('kill'), await measureWriteGaps('freeze')]
 const writes: Array<Record<string, number>> = []
 for (const delayMs of REPLICATION_DELAYS_MS) writes.push(await measureWrites(delayMs))
 const probe = await measureProbe()
--- a/packages/load/src/benchmarks/forwarding.ts
+++ b/packages/load/src/benchmarks/forwarding.ts
@@ -1,12 +1,12 @@
 import { createLogger, MonotonicClock, WsPeerNetwork, type AnswerFrame, type StatementRequest } from '@camphorpitch/wire'
 import { DatabaseService, RemoteStatements, StatementServer, STATEMENTS_SLICE, parseStatementMessage } from '@camphorpitch/proxy'
 
-const WARM_UP = 2_000
-const STATEMENTS = 20_000
+const WARM_UP_STATEMENTS = 2_000
+const MEASURED_STATEMENTS = 20_000
 const CONCURRENCY = 16
 
 /** Answers each statement with a result set of a given number of rows. */
-class FixedService extends DatabaseService {
+class FixedResultService extends DatabaseService {
   readonly #rows: Array<Array<Uint8Array | null>>
 
   constructor (rows: number) {
@@ -32,9 +32,9 @@
 const request: StatementRequest = { requestId: 'r', sessionId: 's', workspace: 'w', database: 'd', text: 'SELECT id, shade, note FROM orders WHERE id = 7', class: 'read', required: null, maxAgeMs: 0, timeoutMs: 20_000, transactionId: null, writeId: null }
 
 async function runStatements (remote: RemoteStatements, count: number): Promise<void> {
-  let left = count
+  let remaining = count
   await Promise.all(Array.from({ length: CONCURRENCY }, async () => {
-    while (left-- > 0) {
+    while (remaining-- > 0) {
       for await (const frame of remote.run('server', request)) {
         if (frame.kind === 'failed') throw new Error('unexpected answer')
       }
@@ -52,7 +52,7 @@
   const serverNetwork = createNetwork('server')
   const entryNetwork = createNetwork('entry')
   port = await serverNetwork.listen('127.0.0.1', 0)
-  const service = new FixedService(rows)
+  const service = new FixedResultService(rows)
   const server = new StatementServer({ peers: serverNetwork, logger, findService: () => service })
   serverNetwork.subscribe(STATEMENTS_SLICE, (from, body) => {
     const message = parseStatementMessage(body)
@@ -63,12 +63,12 @@
     const message = parseStatementMessage(body)
     if (message?.type === 'frame') remote.handleFrame(from.vm, message)
   })
-  await runStatements(remote, WARM_UP)
-  const before = process.cpuUsage()
-  await runStatements(remote, STATEMENTS)
-  const used = process.cpuUsage(before)
+  await runStatements(remote, WARM_UP_STATEMENTS)
+  const cpuBefore = process.cpuUsage()
+  await runStatements(remote, MEASURED_STATEMENTS)
+  const cpuUsed = process.cpuUsage(cpuBefore)
   await Promise.all([entryNetwork.stop(), serverNetwork.stop()])
-  return (used.user + used.system) / STATEMENTS
+  return (cpuUsed.user + cpuUsed.system) / MEASURED_STATEMENTS
 }
 
 for (const rows of [1, 10, 100]) {
--- a/packages/load/src/benchmarks/limits.ts
+++ b/packages/load/src/benchmarks/limits.ts
@@ -13,14 +13,14 @@
  */
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
-const HEADER_BYTES = 60
+const MESSAGE_HEADER_BYTES = 60
 const WARM_UP_MS = 5_000
-const IDLE_MS = 10_000
+const IDLE_DURATION_MS = 10_000
 const SEED = 11
-const LOAD = 0.8
-const ABUSE = 10
+const LOAD_FRACTION = 0.8
+const ABUSER_LOAD_FACTOR = 10
 
-interface Row {
+interface SchemeResult {
   scheme: string
   vms: number
   workspaces: number
@@ -50,15 +50,15 @@
     if (input.type !== 'admit') return { state, effects: [] }
     const key = `${state.self.vm}/${input.workspace}`
     const { statementsPerSecond, burst } = rates[input.workspace]!
-    const part = Math.max(1, burst / vmCount)
-    const perMs = statementsPerSecond / 1000 / vmCount
-    const bucket = buckets.get(key) ?? createBucket(perMs, part, nowMs - part / perMs)
+    const burstPerVm = Math.max(1, burst / vmCount)
+    const tokensPerMs = statementsPerSecond / 1000 / vmCount
+    const bucket = buckets.get(key) ?? createBucket(tokensPerMs, burstPerVm, nowMs - burstPerVm / tokensPerMs)
     buckets.set(key, bucket)
-    return { state, effects: [findFrom(bucket, input.requestId, nowMs)] }
+    return { state, effects: [admitFromBucket(bucket, input.requestId, nowMs)] }
   }
 }
 
-function findFrom (bucket: TokenBucket, requestId: number, nowMs: number): LimitEffect {
+function admitFromBucket (bucket: TokenBucket, requestId: number, nowMs: number): LimitEffect {
   if (countAvailable(bucket, nowMs) < 1) return { type: 'resolve', requestId, admission: { admitted: false, retryAfterMs: 1, reason: 'rate' } }
   reserveTokens(bucket, 1)
   spendReserved(bucket, 1, nowMs)
@@ -81,8 +81,8 @@
       const { statementsPerSecond, burst } = rates[workspace]!
       const bucket = buckets.get(workspace) ?? createBucket(statementsPerSecond / 1000, burst, nowMs - burst * 1000 / statementsPerSecond)
       buckets.set(workspace, bucket)
-      const answer = findFrom(bucket, 0, nowMs)
-      const tokens = answer.type === 'resolve' && answer.admission.admitted ? 1 : 0
+      const effect = admitFromBucket(bucket, 0, nowMs)
+      const tokens = effect.type === 'resolve' && effect.admission.admitted ? 1 : 0
       const item = { workspace, share: 0, id: 0, tokens, available: 0, retryAfterMs: 1, counting: true }
       return { state, effects: [{ type: 'send', vm: from.vm, body: { type: 'grants', seq: body.seq, incarnation: from.incarnation, items: [item] } }] }
     }
@@ -92,17 +92,17 @@
   }
 }
 
-interface Measure {
+interface DecisionUsage {
   decideMs: number
   messages: number
   bytes: number
 }
 
-function measureDecide (decide: LimitDecide, measure: Measure): LimitDecide {
+function measureDecisionUsage (decide: LimitDecide, usage: DecisionUsage): LimitDecide {
   return (state, input, nowMs) => {
-    const startedMs = performance.now()
+    const startedAtMs = performance.now()
     const step = decide(state, input, nowMs)
-    measure.decideMs += performance.now() - startedMs
+    usage.decideMs += performance.now() - startedAtMs
     return step
   }
 }
@@ -113,36 +113,36 @@
   return sizes.reduce((a, b) => a + b, 0) / sizes.length
 }
 
-function runScheme (scheme: string, vmCount: number, decide: LimitDecide, rates: Record<string, Rate>, durationMs: number): Row {
-  const measure: Measure = { decideMs: 0, messages: 0, bytes: 0 }
+function runScheme (scheme: string, vmCount: number, decide: LimitDecide, rates: Record<string, Rate>, durationMs: number): SchemeResult {
+  const usage: DecisionUsage = { decideMs: 0, messages: 0, bytes: 0 }
   const fleet = new VirtualFleet({
     seed: SEED,
     vmCount,
     rates,
-    decide: measureDecide(decide, measure),
+    decide: measureDecisionUsage(decide, usage),
     handleSend: (_from, _to, { body }) => {
-      measure.messages += 1
-      measure.bytes += pack({ slice: 'limits', body }).length + HEADER_BYTES
+      usage.messages += 1
+      usage.bytes += pack({ slice: 'limits', body }).length + MESSAGE_HEADER_BYTES
     }
   })
   fleet.queue.runUntil(WARM_UP_MS)
-  const before = measure.bytes
-  fleet.queue.runUntil(WARM_UP_MS + IDLE_MS)
-  const idleBytes = measure.bytes - before
-  const startMs = fleet.queue.nowMs
-  Object.assign(measure, { decideMs: 0, messages: 0, bytes: 0 })
-  const abuser = 'workspace-7'
+  const bytesBefore = usage.bytes
+  fleet.queue.runUntil(WARM_UP_MS + IDLE_DURATION_MS)
+  const idleBytes = usage.bytes - bytesBefore
+  const loadStartMs = fleet.queue.nowMs
+  Object.assign(usage, { decideMs: 0, messages: 0, bytes: 0 })
+  const abusiveWorkspace = 'workspace-7'
   for (const [workspace, { statementsPerSecond }] of Object.entries(rates)) {
-    const load = workspace === abuser ? ABUSE : LOAD
-    startMovingLoad(fleet, { workspace, requestsPerSecond: statementsPerSecond * load, endMs: startMs + durationMs })
+    const loadFactor = workspace === abusiveWorkspace ? ABUSER_LOAD_FACTOR : LOAD_FRACTION
+    startMovingLoad(fleet, { workspace, requestsPerSecond: statementsPerSecond * loadFactor, endMs: loadStartMs + durationMs })
   }
-  fleet.queue.runUntil(startMs + durationMs)
+  fleet.queue.runUntil(loadStartMs + durationMs)
   const stateBytesPerVm = measureStateBytes(fleet)
-  fleet.queue.runUntil(startMs + durationMs + 500)
-  const results = Object.entries(rates).map(([w, rate]) => ({ w, ...computeLoadResult(fleet.records, w, rate, startMs) }))
-  const others = results.filter(r => r.w !== abuser)
+  fleet.queue.runUntil(loadStartMs + durationMs + 500)
+  const results = Object.entries(rates).map(([workspace, rate]) => ({ workspace, ...computeLoadResult(fleet.records, workspace, rate, loadStartMs) }))
+  const others = results.filter(r => r.workspace !== abusiveWorkspace)
   const sum = (pick: (r: typeof results[number]) => number, list = results): number => list.reduce((n, r) => n + pick(r), 0)
-  const abuserResult = results.find(r => r.w === abuser)
+  const abuserResult = results.find(r => r.workspace === abusiveWorkspace)
   const vmSeconds = vmCount * durationMs / 1000
   return {
     scheme,
@@ -152,36 +152,36 @@
     wrongfulPercent: 100 * sum(r => r.wrongful, others) / sum(r => r.within, others),
     worstPercent: Math.max(...others.map(r => 100 * r.wrongful / Math.max(1, r.within))),
     abuserAdmittedPart: abuserResult === undefined ? NaN : abuserResult.admitted / abuserResult.within,
-    messagesPerSecond: measure.messages / vmSeconds,
-    bytesPerSecond: measure.bytes / vmSeconds,
-    idleBytesPerSecond: idleBytes / vmCount / (IDLE_MS / 1000),
-    microsecondsPerRequest: 1000 * measure.decideMs / sum(r => r.requests),
-    corePercent: 100 * measure.decideMs / 1000 / vmSeconds,
+    messagesPerSecond: usage.messages / vmSeconds,
+    bytesPerSecond: usage.bytes / vmSeconds,
+    idleBytesPerSecond: idleBytes / vmCount / (IDLE_DURATION_MS / 1000),
+    microsecondsPerRequest: 1000 * usage.decideMs / sum(r => r.requests),
+    corePercent: 100 * usage.decideMs / 1000 / vmSeconds,
     stateBytesPerVm
   }
 }
 
-function formatRow (row: Row): Record<string, string | number> {
+function formatRow (row: SchemeResult): Record<string, string | number> {
   return Object.fromEntries(Object.entries(row).map(([k, v]) => [k, typeof v === 'number' ? Number(v.toFixed(3)) : v]))
 }
 
 /** Wrongful refusals of one workspace of 100/s by the size of its burst. */
-function runBursts (): Array<Record<string, number>> {
+function measureBursts (): Array<Record<string, number>> {
   return [5, 10, 20, 30, 50, 100].map(burst => {
     const rates = { single: { statementsPerSecond: 100, burst } }
-    const row = runScheme('witnessed shares', 9, decideLimits, rates, 120_000)
-    return { burst, wrongfulPercent: Number(row.wrongfulPercent.toFixed(3)), messagesPerRequest: row.messagesPerSecond * 9 * 120 / row.requests }
+    const result = runScheme('witnessed shares', 9, decideLimits, rates, 120_000)
+    return { burst, wrongfulPercent: Number(result.wrongfulPercent.toFixed(3)), messagesPerRequest: result.messagesPerSecond * 9 * 120 / result.requests }
   })
 }
 
-const rows: Row[] = []
+const rows: SchemeResult[] = []
 for (const [vmCount, durationMs] of [[9, 60_000], [50, 20_000], [200, 10_000]] as const) {
   const rates = createRates(vmCount)
   rows.push(runScheme('witnessed shares', vmCount, decideLimits, rates, durationMs))
   rows.push(runScheme('single owner', vmCount, createSingleOwner(rates, vmCount), rates, durationMs))
   rows.push(runScheme('equal split', vmCount, createEqualSplit(rates, vmCount), rates, durationMs))
 }
-const bursts = runBursts()
+const bursts = measureBursts()
 console.table(rows.map(formatRow))
 console.table(bursts)
 console.log(JSON.stringify({ rows: rows.map(formatRow), bursts }))
--- a/packages/load/src/benchmarks/membership-faults.ts
+++ b/packages/load/src/benchmarks/membership-faults.ts
@@ -7,55 +7,55 @@
  * Run: node --import=tsx packages/load/src/benchmarks/membership-faults.ts
  */
 
-const SIZES = [9, 45, 90, 180]
+const FLEET_SIZES = [9, 45, 90, 180]
 const FAILURE_DOMAINS = 9
 const REGIONS = 3
-const SETTLE_MS = 60_000
-const CUT_MS = 60_000
-const LIMIT_MS = 180_000
+const SETTLE_DURATION_MS = 60_000
+const PARTITION_DURATION_MS = 60_000
+const CONVERGENCE_TIMEOUT_MS = 180_000
 const STEP_MS = 500
 
-function readIndex (vm: string): number {
+function parseVmIndex (vm: string): number {
   return Number(vm.slice('vm-'.length))
 }
 
-function startFleet (size: number): VirtualFleet {
+function startSettledFleet (size: number): VirtualFleet {
   const fleet = new VirtualFleet({ size, seed: size, failureDomains: FAILURE_DOMAINS })
-  fleet.run(SETTLE_MS)
+  fleet.run(SETTLE_DURATION_MS)
   return fleet
 }
 
 /** Virtual time until `isDone`; `null` when that took longer than `LIMIT_MS`. */
-function measureTime (fleet: VirtualFleet, isDone: () => boolean): number | null {
-  const startMs = fleet.nowMs
+function measureSimulatedMs (fleet: VirtualFleet, isDone: () => boolean): number | null {
+  const startedAtMs = fleet.nowMs
   while (!isDone()) {
-    if (fleet.nowMs - startMs > LIMIT_MS) return null
+    if (fleet.nowMs - startedAtMs > CONVERGENCE_TIMEOUT_MS) return null
     fleet.run(STEP_MS)
   }
-  return fleet.nowMs - startMs
+  return fleet.nowMs - startedAtMs
 }
 
 function measureDomainLoss (size: number): number | null {
-  const fleet = startFleet(size)
-  const lost = fleet.listRunning().filter(vm => readIndex(vm) % FAILURE_DOMAINS === 0)
-  for (const vm of lost) fleet.stopVm(vm)
-  return measureTime(fleet, () => fleet.hasConverged())
+  const fleet = startSettledFleet(size)
+  const stoppedVms = fleet.listRunning().filter(vm => parseVmIndex(vm) % FAILURE_DOMAINS === 0)
+  for (const vm of stoppedVms) fleet.stopVm(vm)
+  return measureSimulatedMs(fleet, () => fleet.hasConverged())
 }
 
-function measureRegionCut (size: number): { separatedMs: number | null, healedMs: number | null, deathsAfterHealing: number } {
-  const fleet = startFleet(size)
-  const readSide = (vm: string) => Number(readIndex(vm) % REGIONS === 0)
+function measureRegionPartition (size: number): { separatedMs: number | null, healedMs: number | null, deathsAfterHealing: number } {
+  const fleet = startSettledFleet(size)
+  const findSide = (vm: string) => Number(parseVmIndex(vm) % REGIONS === 0)
   const running = fleet.listRunning()
-  const sizeOfSide = [0, 1].map(side => running.filter(vm => readSide(vm) === side).length)
-  fleet.cut(readSide)
-  const separatedMs = measureTime(fleet, () => running.every(vm => fleet.readView(vm).size === sizeOfSide[readSide(vm)]))
-  fleet.run(CUT_MS)
-  const before = fleet.deaths.length
+  const sideSizes = [0, 1].map(side => running.filter(vm => findSide(vm) === side).length)
+  fleet.cut(findSide)
+  const separatedMs = measureSimulatedMs(fleet, () => running.every(vm => fleet.readView(vm).size === sideSizes[findSide(vm)]))
+  fleet.run(PARTITION_DURATION_MS)
+  const deathsBefore = fleet.deaths.length
   fleet.cut(null)
-  const healedMs = measureTime(fleet, () => fleet.hasConverged())
-  return { separatedMs, healedMs, deathsAfterHealing: fleet.deaths.length - before }
+  const healedMs = measureSimulatedMs(fleet, () => fleet.hasConverged())
+  return { separatedMs, healedMs, deathsAfterHealing: fleet.deaths.length - deathsBefore }
 }
 
-const rows = SIZES.map(size => ({ size, domainLossMs: measureDomainLoss(size), ...measureRegionCut(size) }))
+const rows = FLEET_SIZES.map(size => ({ size, domainLossMs: measureDomainLoss(size), ...measureRegionPartition(size) }))
 console.table(rows)
 console.log(JSON.stringify({ benchmark: 'membership-faults', rows }))
--- a/packages/load/src/benchmarks/membership-memory.ts
+++ b/packages/load/src/benchmarks/membership-memory.ts
@@ -9,9 +9,9 @@
  * Run: node --expose-gc --import=tsx packages/load/src/benchmarks/membership-memory.ts
  */
 
-const SIZES = [9, 200, 860]
+const FLEET_SIZES = [9, 200, 860]
 /** Views built for one measurement, so that other allocations weigh little. */
-const VIEWS = 50
+const VIEW_COUNT = 50
 
 function createUpdate (i: number): MemberUpdate {
   return {
@@ -28,7 +28,7 @@
   }
 }
 
-function createSync (size: number): MemberUpdate[][] {
+function createSyncChunks (size: number): MemberUpdate[][] {
   const chunks: MemberUpdate[][] = []
   for (let i = 0; i < size; i += SYNC_CHUNK_SIZE) {
     chunks.push(Array.from({ length: Math.min(SYNC_CHUNK_SIZE, size - i) }, (_, n) => createUpdate(i + n)))
@@ -38,8 +38,8 @@
 
 function createView (size: number): MembershipState {
   const state = createMembershipState({ self: { ...createUpdate(size) }, seed: 1 })
-  createSync(size).forEach((updates, i, all) => {
-    const isLast = i === all.length - 1
+  createSyncChunks(size).forEach((updates, i, chunks) => {
+    const isLast = i === chunks.length - 1
     decideMembership(state, { type: 'received', from: 'vm-0', body: { type: 'sync', updates, isLast, wantsReply: false } }, i)
   })
   readRing(state)
@@ -51,12 +51,12 @@
   return process.memoryUsage().heapUsed
 }
 
-const rows = SIZES.map(size => {
-  const before = readHeapBytes()
-  const views = Array.from({ length: VIEWS }, () => createView(size))
-  const bytes = (readHeapBytes() - before) / views.length
-  const syncBytes = createSync(size).reduce((total, updates) => total + pack({ slice: 'membership', body: { type: 'sync', updates, isLast: true, wantsReply: true } }).length, 0)
-  return { size, viewKB: Math.round(bytes / 1_024), bytesPerMember: Math.round(bytes / size), syncKB: Math.round(syncBytes / 1_024) }
+const rows = FLEET_SIZES.map(size => {
+  const heapBytesBefore = readHeapBytes()
+  const views = Array.from({ length: VIEW_COUNT }, () => createView(size))
+  const bytesPerView = (readHeapBytes() - heapBytesBefore) / views.length
+  const syncBytes = createSyncChunks(size).reduce((total, updates) => total + pack({ slice: 'membership', body: { type: 'sync', updates, isLast: true, wantsReply: true } }).length, 0)
+  return { size, viewKB: Math.round(bytesPerView / 1_024), bytesPerMember: Math.round(bytesPerView / size), syncKB: Math.round(syncBytes / 1_024) }
 })
 console.table(rows)
 console.log(JSON.stringify({ benchmark: 'membership-memory', rows }))
--- a/packages/load/src/benchmarks/membership.ts
+++ b/packages/load/src/benchmarks/membership.ts
@@ -11,11 +11,11 @@
  * Run: node --import=tsx packages/load/src/benchmarks/membership.ts
  */
 
-const SIZES = [9, 50, 200]
-const LOSSES = [0, 0.3]
-const SETTLE_MS = 120_000
-const MEASURE_MS = 30_000
-const DETECTION_LIMIT_MS = 60_000
+const FLEET_SIZES = [9, 50, 200]
+const LOSS_FRACTIONS = [0, 0.3]
+const SETTLE_DURATION_MS = 120_000
+const MEASURE_DURATION_MS = 30_000
+const DETECTION_TIMEOUT_MS = 60_000
 const DETECTION_STEP_MS = 100
 
 interface Usage {
@@ -25,7 +25,7 @@
   messages: number
 }
 
-interface Row {
+interface FleetResult {
   size: number
   loss: number
   detectionMs: number
@@ -39,35 +39,35 @@
 function createMeasuredFleet (size: number, loss: number): { fleet: VirtualFleet, usage: Usage } {
   const usage: Usage = { decideMs: 0, packMs: 0, bytes: 0, messages: 0 }
   const decide: DecideMembership = (state, input, nowMs) => {
-    const startedAt = performance.now()
+    const startedAtMs = performance.now()
     const step = decideMembership(state, input, nowMs)
-    usage.decideMs += performance.now() - startedAt
+    usage.decideMs += performance.now() - startedAtMs
     return step
   }
   const handleSend = (body: unknown) => {
-    const startedAt = performance.now()
+    const startedAtMs = performance.now()
     usage.bytes += pack({ slice: 'membership', body }).length
-    usage.packMs += performance.now() - startedAt
+    usage.packMs += performance.now() - startedAtMs
     usage.messages += 1
   }
   return { fleet: new VirtualFleet({ size, seed: size, loss, decide, handleSend }), usage }
 }
 
 function measureDetection (fleet: VirtualFleet): number {
-  const startMs = fleet.nowMs
+  const stoppedAtMs = fleet.nowMs
   fleet.stopVm('vm-1')
-  while (fleet.listObserversOf('vm-1').length > 0 && fleet.nowMs - startMs < DETECTION_LIMIT_MS) fleet.run(DETECTION_STEP_MS)
-  return fleet.nowMs - startMs
+  while (fleet.listObserversOf('vm-1').length > 0 && fleet.nowMs - stoppedAtMs < DETECTION_TIMEOUT_MS) fleet.run(DETECTION_STEP_MS)
+  return fleet.nowMs - stoppedAtMs
 }
 
-function measureFleet (size: number, loss: number): Row {
+function measureFleet (size: number, loss: number): FleetResult {
   const { fleet, usage } = createMeasuredFleet(size, loss)
-  fleet.run(SETTLE_MS)
+  fleet.run(SETTLE_DURATION_MS)
   Object.assign(usage, { decideMs: 0, packMs: 0, bytes: 0, messages: 0 })
   const suspicionsBefore = fleet.suspicions.length
-  fleet.run(MEASURE_MS)
-  const vmSeconds = size * MEASURE_MS / 1_000
-  const wrong = new Set(fleet.suspicions.slice(suspicionsBefore).map(s => `${s.vm}/${s.incarnation}`))
+  fleet.run(MEASURE_DURATION_MS)
+  const vmSeconds = size * MEASURE_DURATION_MS / 1_000
+  const wronglySuspected = new Set(fleet.suspicions.slice(suspicionsBefore).map(s => `${s.vm}/${s.incarnation}`))
   const row = {
     size,
     loss,
@@ -75,7 +75,7 @@
     messagesPerVmSecond: round(usage.messages / vmSeconds),
     bytesPerVmSecond: round(usage.bytes / vmSeconds),
     cpuMicrosPerVmSecond: round((usage.decideMs + usage.packMs) * 1_000 / vmSeconds),
-    wrongSuspicionsPerVmHour: round(wrong.size * 3_600 / vmSeconds),
+    wrongSuspicionsPerVmHour: round(wronglySuspected.size * 3_600 / vmSeconds),
     wrongDeathViews: fleet.deaths.filter(d => d.isRunning).length
   }
   return { ...row, detectionMs: measureDetection(fleet) }
@@ -86,14 +86,14 @@
 }
 
 /** Growth per added VM between the smallest and the largest fleet, without loss. */
-function computeSlope (rows: readonly Row[], key: 'bytesPerVmSecond' | 'cpuMicrosPerVmSecond' | 'detectionMs'): number {
-  const calm = rows.filter(r => r.loss === 0)
-  const first = calm[0]!
-  const last = calm.at(-1)!
-  return (last[key] - first[key]) / (last.size - first.size)
+function computeSlope (rows: readonly FleetResult[], key: 'bytesPerVmSecond' | 'cpuMicrosPerVmSecond' | 'detectionMs'): number {
+  const losslessRows = rows.filter(r => r.loss === 0)
+  const smallestFleet = losslessRows[0]!
+  const largestFleet = losslessRows.at(-1)!
+  return (largestFleet[key] - smallestFleet[key]) / (largestFleet.size - smallestFleet.size)
 }
 
-const rows = LOSSES.flatMap(loss => SIZES.map(size => measureFleet(size, loss)))
+const rows = LOSS_FRACTIONS.flatMap(loss => FLEET_SIZES.map(size => measureFleet(size, loss)))
 console.table(rows)
 console.log(JSON.stringify({
   benchmark: 'membership',
--- a/packages/load/src/benchmarks/serving.ts
+++ b/packages/load/src/benchmarks/serving.ts
@@ -19,13 +19,13 @@
  */
 
 const DATABASE = 'orders'
-const STATEMENTS = 1_500
-const CONCURRENCY = [1, 8]
+const STATEMENT_COUNT = 1_500
+const CONCURRENCY_LEVELS = [1, 8]
 const APPLY_DELAYS_MS = [0, 5, 20]
-const ROUNDS = 120
-const SESSIONS = 4
+const ROUNDS_PER_SESSION = 120
+const SESSION_COUNT = 4
 
-class WholePlacement extends PlacementView {
+class SingleVmPlacement extends PlacementView {
   override listServingVms (): readonly string[] { return [] }
   override listRanking (): readonly string[] { return [] }
   override isServing (): boolean { return true }
@@ -34,21 +34,21 @@
   override subscribe (): void {}
 }
 
-interface Bench {
+interface ServingBenchmark {
   fleet: Fleet
   group: GroupView
   service: DatabaseService
   stop: () => Promise<void>
 }
 
-async function startBench (): Promise<Bench> {
+async function startBenchmark (): Promise<ServingBenchmark> {
   const fleet = await startFleet({ vms: 0, databases: [DATABASE], endpoint: { connectDelayMs: 12, maxConnections: 20, slots: 3 } })
   const endpoints = fleet.endpoints.map(e => ({ endpoint: e.endpoint, host: fleet.host, port: e.port, failureDomain: e.failureDomain, region: 'r', maxConnections: 20, slots: 3 }))
   const database: Database = { database: DATABASE, endpoints, user: 'camphorpitch', password: '' }
   const system = start()
   const common = { system, clock: new MonotonicClock(), logger: createLogger({ process: 'benchmark', level: 'silent' }), database }
   const group = startGroupView({ ...common, vm: 'vm-1', incarnation: 1 })
-  const service = startDatabaseService({ ...common, group, placement: new WholePlacement(), failureDomain: 'north' })
+  const service = startDatabaseService({ ...common, group, placement: new SingleVmPlacement(), failureDomain: 'north' })
   while (group.findPrimary() === undefined) await waitMs(10)
   return {
     fleet,
@@ -66,11 +66,11 @@
   return new Promise(resolve => setTimeout(resolve, ms))
 }
 
-let count = 0
+let requestCount = 0
 
 function makeRequest (text: string, options: Partial<StatementRequest> = {}): StatementRequest {
   return {
-    requestId: `r${++count}`,
+    requestId: `r${++requestCount}`,
     sessionId: 's',
     workspace: 'w',
     database: DATABASE,
@@ -85,7 +85,7 @@
   }
 }
 
-async function runFrames (service: DatabaseService, request: StatementRequest): Promise<AnswerFrame[]> {
+async function runStatement (service: DatabaseService, request: StatementRequest): Promise<AnswerFrame[]> {
   const frames: AnswerFrame[] = []
   for await (const f of service.run(request)) frames.push(f)
   const last = frames.at(-1)
@@ -93,23 +93,23 @@
   return frames
 }
 
-interface Cost { statement: string, concurrency: number, path: string, meanUs: number, p99Us: number, perSecond: number, cpuUs: number }
+interface StatementCost { statement: string, concurrency: number, path: string, meanUs: number, p99Us: number, perSecond: number, cpuUs: number }
 
-async function measure (statement: string, path: string, concurrency: number, run: (lane: number) => Promise<unknown>): Promise<Cost> {
-  const lanes = Array.from({ length: concurrency }, (_, i) => i)
-  await Promise.all(lanes.map(async lane => { for (let i = 0; i < 50; i++) await run(lane) }))
+async function measureCost (statement: string, path: string, concurrency: number, run: (client: number) => Promise<unknown>): Promise<StatementCost> {
+  const clients = Array.from({ length: concurrency }, (_, i) => i)
+  await Promise.all(clients.map(async client => { for (let i = 0; i < 50; i++) await run(client) }))
   const samples: number[] = []
-  const cpu = process.cpuUsage()
-  const startedAt = performance.now()
-  await Promise.all(lanes.map(async lane => {
-    for (let i = 0; i < STATEMENTS / concurrency; i++) {
-      const at = performance.now()
-      await run(lane)
-      samples.push((performance.now() - at) * 1_000)
+  const cpuBefore = process.cpuUsage()
+  const startedAtMs = performance.now()
+  await Promise.all(clients.map(async client => {
+    for (let i = 0; i < STATEMENT_COUNT / concurrency; i++) {
+      const sentAtMs = performance.now()
+      await run(client)
+      samples.push((performance.now() - sentAtMs) * 1_000)
     }
   }))
-  const elapsedMs = performance.now() - startedAt
-  const used = process.cpuUsage(cpu)
+  const elapsedMs = performance.now() - startedAtMs
+  const cpuUsed = process.cpuUsage(cpuBefore)
   samples.sort((a, b) => a - b)
   return {
     statement,
@@ -118,40 +118,40 @@
     meanUs: Math.round(samples.reduce((a, b) => a + b, 0) / samples.length),
     p99Us: Math.round(samples[Math.floor(samples.length * 0.99)] ?? 0),
     perSecond: Math.round(samples.length / elapsedMs * 1_000),
-    cpuUs: Math.round((used.user + used.system) / samples.length)
+    cpuUs: Math.round((cpuUsed.user + cpuUsed.system) / samples.length)
   }
 }
 
-async function openDirect (fleet: Fleet, index: number, connections: number): Promise<Connection[]> {
+async function openDirectConnections (fleet: Fleet, index: number, connections: number): Promise<Connection[]> {
   const { port } = fleet.endpoints[index] as { port: number }
   return await Promise.all(Array.from({ length: connections }, () => mysql.createConnection({ host: fleet.host, port, user: 'camphorpitch' })))
 }
 
-async function measureCosts ({ fleet, service }: Bench, concurrency: number): Promise<Cost[]> {
-  const primary = await openDirect(fleet, 0, concurrency)
-  const replica = await openDirect(fleet, 1, concurrency)
+async function measureCosts ({ fleet, service }: ServingBenchmark, concurrency: number): Promise<StatementCost[]> {
+  const primaryConnections = await openDirectConnections(fleet, 0, concurrency)
+  const replicaConnections = await openDirectConnections(fleet, 1, concurrency)
   const read = 'SELECT n FROM t WHERE id = 1'
   const write = 'UPDATE t SET n = n + 1 WHERE id = 1'
-  let names = 0
+  let namedWriteCount = 0
   const costs = [
-    await measure('read', 'direct to a replica', concurrency, lane => replica[lane]!.query(read)),
-    await measure('read', 'service', concurrency, () => runFrames(service, makeRequest(read))),
-    await measure('read', 'service, position unknown', concurrency, () => runFrames(service, makeRequest(read, { required: null }))),
-    await measure('write', 'direct to the primary, not durable', concurrency, lane => primary[lane]!.query(write)),
-    await measure('write', 'service', concurrency, () => runFrames(service, makeRequest(write))),
-    await measure('write', 'service, named', concurrency, () => runFrames(service, makeRequest(write, { writeId: `n${concurrency}-${++names}` })))
+    await measureCost('read', 'direct to a replica', concurrency, client => replicaConnections[client]!.query(read)),
+    await measureCost('read', 'service', concurrency, () => runStatement(service, makeRequest(read))),
+    await measureCost('read', 'service, position unknown', concurrency, () => runStatement(service, makeRequest(read, { required: null }))),
+    await measureCost('write', 'direct to the primary, not durable', concurrency, client => primaryConnections[client]!.query(write)),
+    await measureCost('write', 'service', concurrency, () => runStatement(service, makeRequest(write))),
+    await measureCost('write', 'service, named', concurrency, () => runStatement(service, makeRequest(write, { writeId: `n${concurrency}-${++namedWriteCount}` })))
   ]
-  for (const c of [...primary, ...replica]) c.destroy()
+  for (const c of [...primaryConnections, ...replicaConnections]) c.destroy()
   return costs
 }
 
-interface Share { applyDelayMs: number, reads: number, byReplica: number, bestPossible: number, share: number, bestShare: number, readMeanMs: number }
+interface ReplicaReadFraction { applyDelayMs: number, reads: number, byReplica: number, bestPossible: number, share: number, bestShare: number, readMeanMs: number }
 
 async function setFaults (fleet: Fleet, faults: object): Promise<void> {
   await Promise.all(fleet.endpoints.map(e => fetch(`${e.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(faults) })))
 }
 
-async function countReads (fleet: Fleet): Promise<number[]> {
+async function countReadsByEndpoint (fleet: Fleet): Promise<number[]> {
   return await Promise.all(fleet.endpoints.map(async e => {
     const record = await (await fetch(`${e.controlUrl}/record`)).json() as { statements: Array<{ text: string }> }
     return record.statements.filter(s => s.text.startsWith('SELECT n')).length
@@ -159,58 +159,58 @@
 }
 
 /** Sessions write, think, and read; a read has a best possible replica when the write's delay had passed as it began. */
-async function measureShare ({ fleet, service, group }: Bench, applyDelayMs: number): Promise<Share> {
+async function measureReplicaReadFraction ({ fleet, service, group }: ServingBenchmark, applyDelayMs: number): Promise<ReplicaReadFraction> {
   await setFaults(fleet, { applyDelayMs })
-  const before = await countReads(fleet)
+  const readsBefore = await countReadsByEndpoint(fleet)
   let reads = 0
   let bestPossible = 0
-  let readMs = 0
+  let totalReadMs = 0
   const runSession = async (session: number): Promise<void> => {
-    for (let i = 0; i < ROUNDS; i++) {
-      const sentAt = performance.now()
-      const [ok] = await runFrames(service, makeRequest(`UPDATE t SET n = n + 1 WHERE id = ${session}`))
+    for (let i = 0; i < ROUNDS_PER_SESSION; i++) {
+      const writeSentAtMs = performance.now()
+      const [ok] = await runStatement(service, makeRequest(`UPDATE t SET n = n + 1 WHERE id = ${session}`))
       const required: LogPosition | null = ok?.kind === 'ok' ? ok.position : null
-      const thinkMs = (i % 8) / 4 * Math.max(1, applyDelayMs)
-      await waitMs(thinkMs)
-      const startedAt = performance.now()
-      if (startedAt - sentAt >= applyDelayMs) bestPossible++
-      await runFrames(service, makeRequest(`SELECT n FROM t WHERE id = ${session}`, { required }))
-      readMs += performance.now() - startedAt
+      const thinkTimeMs = (i % 8) / 4 * Math.max(1, applyDelayMs)
+      await waitMs(thinkTimeMs)
+      const readSentAtMs = performance.now()
+      if (readSentAtMs - writeSentAtMs >= applyDelayMs) bestPossible++
+      await runStatement(service, makeRequest(`SELECT n FROM t WHERE id = ${session}`, { required }))
+      totalReadMs += performance.now() - readSentAtMs
       reads++
     }
   }
-  await Promise.all(Array.from({ length: SESSIONS }, (_, s) => runSession(s)))
-  const after = await countReads(fleet)
+  await Promise.all(Array.from({ length: SESSION_COUNT }, (_, s) => runSession(s)))
+  const readsAfter = await countReadsByEndpoint(fleet)
   const primary = group.findPrimary()?.endpoint.endpoint
-  const byReplica = fleet.endpoints.reduce((sum, e, i) => e.endpoint === primary ? sum : sum + after[i]! - before[i]!, 0)
+  const byReplica = fleet.endpoints.reduce((sum, e, i) => e.endpoint === primary ? sum : sum + readsAfter[i]! - readsBefore[i]!, 0)
   await setFaults(fleet, { applyDelayMs: 0 })
   const round = (value: number) => Math.round(value * 1_000) / 1_000
-  return { applyDelayMs, reads, byReplica, bestPossible, share: round(byReplica / reads), bestShare: round(bestPossible / reads), readMeanMs: round(readMs / reads) }
+  return { applyDelayMs, reads, byReplica, bestPossible, share: round(byReplica / reads), bestShare: round(bestPossible / reads), readMeanMs: round(totalReadMs / reads) }
 }
 
-function computeRatios (costs: readonly Cost[]) {
+function computeRatios (costs: readonly StatementCost[]) {
   return costs.filter(c => c.path.startsWith('service')).map(c => {
-    const direct = costs.find(d => d.statement === c.statement && d.concurrency === c.concurrency && d.path.startsWith('direct')) as Cost
+    const direct = costs.find(d => d.statement === c.statement && d.concurrency === c.concurrency && d.path.startsWith('direct')) as StatementCost
     const round = (value: number) => Math.round(value * 100) / 100
     return { statement: c.statement, path: c.path, concurrency: c.concurrency, latency: round(c.meanUs / direct.meanUs), throughput: round(c.perSecond / direct.perSecond), cpu: round(c.cpuUs / direct.cpuUs) }
   })
 }
 
-const bench = await startBench()
+const benchmark = await startBenchmark()
 try {
-  await runFrames(bench.service, makeRequest('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)'))
-  await runFrames(bench.service, makeRequest('INSERT INTO t VALUES (0, 0), (1, 0), (2, 0), (3, 0)'))
-  await measureShare(bench, 0)
-  const shares: Share[] = []
-  for (const delay of APPLY_DELAYS_MS) shares.push(await measureShare(bench, delay))
-  const costs: Cost[] = []
-  for (const c of CONCURRENCY) costs.push(...await measureCosts(bench, c))
+  await runStatement(benchmark.service, makeRequest('CREATE TABLE t (id INTEGER PRIMARY KEY, n INTEGER)'))
+  await runStatement(benchmark.service, makeRequest('INSERT INTO t VALUES (0, 0), (1, 0), (2, 0), (3, 0)'))
+  await measureReplicaReadFraction(benchmark, 0)
+  const shares: ReplicaReadFraction[] = []
+  for (const delay of APPLY_DELAYS_MS) shares.push(await measureReplicaReadFraction(benchmark, delay))
+  const costs: StatementCost[] = []
+  for (const c of CONCURRENCY_LEVELS) costs.push(...await measureCosts(benchmark, c))
   const ratios = computeRatios(costs)
   console.table(costs)
   console.table(ratios)
   console.table(shares)
   console.log(JSON.stringify({ benchmark: 'serving', costs, ratios, shares }))
 } finally {
-  await bench.stop()
+  await benchmark.stop()
 }
 process.exit(0)
