--- a/packages/load/src/benchmarks/callers.ts
+++ b/packages/load/src/benchmarks/callers.ts
@@ -3,19 +3,21 @@
 import { startFleet, type Fleet, type FleetVm } from '../fleet/start-fleet.ts'
 
 /**
- * Memory and processor time that idle callers cost a proxy.
+ * Measures the memory and CPU time that idle client connections cost a proxy.
  *
- * Run after `npm run build`: node --import=tsx packages/load/src/benchmarks/callers.ts
+ * @example npm run build && node --import=tsx packages/load/src/benchmarks/callers.ts
  */
 
 const WORKSPACE = 'callers'
 const DATABASE = 'orders'
 const CLIENT_COUNTS = [0, 1_000, 2_000, 4_000]
 const CONNECT_BATCH_SIZE = 100
+/** Time to settle after connecting, and then the duration of the CPU measurement. */
 const SETTLE_MS = 4_000
 const LOGIN_RETRY_DELAY_MS = 50
 const MAX_CONNECTIONS = 20_000
 
+/** Value of a metric without labels; `NaN` when the VM does not report it. */
 async function readMetric (fleet: Fleet, vm: FleetVm, name: string): Promise<number> {
   const response = await fetch(`http://${fleet.host}:${vm.metricsPort}/metrics`)
   const line = (await response.text()).split('\n').find(l => l.startsWith(`${name} `))
@@ -32,6 +34,7 @@
   return clients
 }
 
+/** Waits until the VM has received the workspace's contract and keys, and accepts a login. */
 async function waitForLogin (fleet: Fleet, vm: FleetVm, key: string): Promise<void> {
   for (;;) {
     const clients = await openClients(fleet, vm, key, 1).catch(() => [])
--- a/packages/load/src/benchmarks/configuration.ts
+++ b/packages/load/src/benchmarks/configuration.ts
@@ -8,11 +8,11 @@
 import { applyValue, createObjectValues } from '../../../proxy/src/configuration/object-values.ts'
 
 /**
- * Cost of configuration by fleet size, with the decisions of all VMs in one process under a virtual
- * clock. Bytes are those of the packed messages sent by a VM, without the links' own framing; CPU is
- * that of deciding and packing.
+ * Measures the cost of configuration by fleet size, with the decisions of all VMs in one process on a
+ * simulated clock. Bytes are those of the packed messages that a VM sends, without the framing of the
+ * links; CPU is the time to decide and to pack.
  *
- * Run: node --import=tsx packages/load/src/benchmarks/configuration.ts [sizes]
+ * @example node --import=tsx packages/load/src/benchmarks/configuration.ts [fleet sizes]
  */
 
 const DEFAULT_SIZES = [9, 50, 200]
@@ -41,10 +41,11 @@
 interface MeasuredFleet {
   fleet: FakeFleet
   usage: Usage
-  /** Virtual time at which each VM put the last change in force. */
+  /** Simulated time at which each VM put the last change in force, by name of the VM. */
   inForceAtMs: Map<string, number>
 }
 
+/** Time from writing a change until a VM puts it in force, over all VMs and changes, and messages per change. */
 interface Dissemination {
   medianMs: number
   maxMs: number
@@ -70,7 +71,7 @@
   return { fleet, usage, inForceAtMs }
 }
 
-/** Makes changes one after the other, and measures how long each takes to be in force on every VM. */
+/** Writes changes one after the other, and measures how long each VM takes to put them in force. */
 function measureChanges ({ fleet, usage, inForceAtMs }: MeasuredFleet): Dissemination {
   const delays: number[] = []
   const messagesBefore = usage.messages
@@ -86,6 +87,10 @@
   return { medianMs: delays[Math.floor(delays.length / 2)] ?? 0, maxMs: delays.at(-1) ?? 0, messagesPerVm }
 }
 
+/**
+ * Measures an idle fleet, then changes while all VMs reach the object service, then changes while only
+ * one of the VMs that watch the object service reaches it.
+ */
 function measureFleet (vms: number) {
   const measuredFleet = createMeasuredFleet(vms)
   const { fleet, usage } = measuredFleet
@@ -122,7 +127,7 @@
   }
 }
 
-/** Heap of one VM's objects, raw and checked, in bytes each. */
+/** Heap in bytes that one object takes on a VM, as received and as validated together; `NaN` when an object was rejected. */
 function measureObjectBytes (): number {
   setFlagsFromString('--expose-gc')
   const collectGarbage = runInNewContext('gc') as () => void
--- a/packages/load/src/benchmarks/failover.ts
+++ b/packages/load/src/benchmarks/failover.ts
@@ -6,8 +6,11 @@
 import { startFleet, type Fleet, type FleetEndpoint } from '../fleet/start-fleet.ts'
 
 /**
- * Measures a change of primary on real instances, split into its stages, and what it costs to wait
- * until a second instance holds a write. Run `npm run build` first; prints a table and JSON.
+ * Measures a change of primary on stand-in instances, split into its stages, the latency added to a
+ * write by waiting until a second instance holds it, and the cost of probes and failover decisions.
+ * Prints tables and JSON.
+ *
+ * @example npm run build && node --import=tsx packages/load/src/benchmarks/failover.ts
  */
 
 const WRITE_GAP_RUNS = 8
@@ -21,8 +24,10 @@
 const WRITE_TIMEOUT_MS = 400
 
 type View = ReturnType<typeof startGroupView>
+/** Milliseconds from the fault until each stage of the failover is reached. */
 type StageTimes = Record<'detected' | 'fenced' | 'promoted' | 'routed' | 'acknowledged', number>
 
+/** A group view and the failover stages that it has logged. */
 interface ObservedView {
   view: View
   stages: Array<{ stage: string, atMs: number }>
@@ -69,6 +74,7 @@
   return parseCommitInfo(ok.info)!
 }
 
+/** Repeats a write on the current primary until it is durable, that is, held by a second instance. */
 async function writeDurably (view: View, sql: string): Promise<LogPosition> {
   for (;;) {
     const connection = await openPrimary(view).catch(() => null)
@@ -87,6 +93,11 @@
   await fetch(`${endpoint.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify({ freeze: true }) })
 }
 
+/**
+ * Applies a fault to the primary and measures the time to each stage of the failover, up to the next
+ * write that is acknowledged as durable. A stage ends when the first view reaches it, except `routed`,
+ * which ends when every view has found the new primary.
+ */
 async function measureWriteGap (fault: 'kill' | 'freeze'): Promise<StageTimes> {
   const fleet = await startFleet({ vms: 0, endpoint: { replicationDelayMs: 5 } })
   const observedViews = Array.from({ length: VIEW_COUNT }, (_, i) => startObservedView(describeGroup(fleet), i))
@@ -105,6 +116,7 @@
   return times
 }
 
+/** Measures write latency with and without the wait for durability, alternating so that both see the same conditions. */
 async function measureWrites (replicationDelayMs: number): Promise<Record<string, number>> {
   const fleet = await startFleet({ vms: 0, endpoint: { replicationDelayMs } })
   const observedView = startObservedView(describeGroup(fleet), 0)
@@ -126,7 +138,7 @@
   return { replicationDelayMs, plainP50: pickQuantile(plainTimesMs, 0.5), plainP99: pickQuantile(plainTimesMs, 0.99), durableP50: pickQuantile(durableTimesMs, 0.5), durableP99: pickQuantile(durableTimesMs, 0.99) }
 }
 
-/** CPU of this process and bytes on the wire for one probe of one instance. */
+/** Measures the CPU time of this process, the round trip and the bytes on the wire of one probe of one instance. */
 async function measureProbe (): Promise<Record<string, number>> {
   const fleet = await startFleet({ vms: 0 })
   const observedView = startObservedView(describeGroup(fleet), 0)
@@ -158,7 +170,7 @@
   return bytes
 }
 
-/** State of one group's decision, and its time for one probe, over a number of groups. */
+/** Measures the heap that the failover state of one group takes, and the time to process one probe response, with `groups` groups. */
 function measureDecision (groups: number): Record<string, number> {
   const createStatus = (i: number): InstanceStatus => {
     const logged = { term: 3, index: 900 }
@@ -207,12 +219,12 @@
 const probe = await measureProbe()
 measureDecision(GROUP_COUNTS[0]!)
 const decisions = GROUP_COUNTS.map(measureDecision)
-console.log('From the fault to the end of each stage:')
+console.log('Time from the fault to the end of each stage:')
 console.table(gaps)
-console.log('Write latency, ms, without and with a second holder:')
+console.log('Write latency in ms, without (plain) and with (durable) waiting until a second instance holds the write:')
 console.table(writes)
-console.log('One probe of one instance:')
+console.log('Cost of one probe of one instance:')
 console.table([Object.fromEntries(Object.entries(probe).map(([key, value]) => [key, round(value)]))])
-console.log('State and time of the decision:')
+console.log('Heap per group and time per probe response of the failover decision:')
 console.table(decisions)
 console.log(JSON.stringify({ gaps, writes, probe, decisions }))
--- a/packages/load/src/benchmarks/forwarding.ts
+++ b/packages/load/src/benchmarks/forwarding.ts
@@ -1,11 +1,18 @@
 import { createLogger, MonotonicClock, WsPeerNetwork, type AnswerFrame, type StatementRequest } from '@camphorpitch/wire'
 import { DatabaseService, RemoteStatements, StatementServer, STATEMENTS_SLICE, parseStatementMessage } from '@camphorpitch/proxy'
 
+/**
+ * Measures the CPU time of forwarding a statement from the entry VM to a serving VM, by the number of
+ * rows in the result set. Both ends run in this process and are connected over the loopback interface.
+ *
+ * @example node --import=tsx packages/load/src/benchmarks/forwarding.ts
+ */
+
 const WARM_UP_STATEMENTS = 2_000
 const MEASURED_STATEMENTS = 20_000
 const CONCURRENCY = 16
 
-/** Answers each statement with a result set of a given number of rows. */
+/** Responds to each statement with the same result set of `rows` rows. */
 class FixedResultService extends DatabaseService {
   readonly #rows: Array<Array<Uint8Array | null>>
 
@@ -36,13 +43,13 @@
   await Promise.all(Array.from({ length: CONCURRENCY }, async () => {
     while (remaining-- > 0) {
       for await (const frame of remote.run('server', request)) {
-        if (frame.kind === 'failed') throw new Error('unexpected answer')
+        if (frame.kind === 'failed') throw new Error('forwarded statement failed')
       }
     }
   }))
 }
 
-/** Microseconds of processor time, both ends together, for one forwarded statement. */
+/** CPU time in microseconds that both ends together spend on one forwarded statement. */
 async function measureForwarding (rows: number): Promise<number> {
   const clock = new MonotonicClock()
   const logger = createLogger({ process: 'benchmark', level: 'silent' })
--- a/packages/load/src/benchmarks/limits.ts
+++ b/packages/load/src/benchmarks/limits.ts
@@ -6,44 +6,54 @@
 import { pack } from 'msgpackr'
 
 /**
- * Compares three ways of counting limits over a fleet, all decisions in one process under a virtual clock.
+ * Compares three schemes for enforcing rate limits across a fleet: witnessed shares, a single owner per
+ * workspace, and an equal split between VMs. All decisions run in one process on a simulated clock.
  *
- * Run with `node --import=tsx packages/load/src/benchmarks/limits.ts`. Bytes are message bodies as
- * `msgpackr` packs them, plus WebSocket, TCP and IP headers of a message sent by itself.
+ * Bytes are those of the message bodies as `msgpackr` packs them, plus `MESSAGE_HEADER_BYTES` per message.
+ *
+ * @example node --import=tsx packages/load/src/benchmarks/limits.ts
  */
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
+/** WebSocket, TCP and IP headers of a message that is sent in a packet by itself. */
 const MESSAGE_HEADER_BYTES = 60
 const WARM_UP_MS = 5_000
 const IDLE_DURATION_MS = 10_000
 const SEED = 11
+/** Load of each workspace as a fraction of its rate. */
 const LOAD_FRACTION = 0.8
+/** Load of the abusive workspace as a multiple of its rate. */
 const ABUSER_LOAD_FACTOR = 10
 
+/** Measurements of one scheme; rates of messages and bytes are per VM. */
 interface SchemeResult {
   scheme: string
   vms: number
   workspaces: number
   requests: number
+  /** Requests within their workspace's rate that were refused, over all workspaces but the abusive one. */
   wrongfulPercent: number
+  /** The highest such percentage of a single workspace. */
   worstPercent: number
+  /** Requests of the abusive workspace that were admitted, relative to those within its rate. */
   abuserAdmittedPart: number
   messagesPerSecond: number
   bytesPerSecond: number
   idleBytesPerSecond: number
   microsecondsPerRequest: number
+  /** Decision time per VM, as a percentage of one processor core. */
   corePercent: number
   stateBytesPerVm: number
 }
 
-/** Eight workspaces for each nine VMs, a few of them large. */
+/** Creates eight workspaces for every nine VMs; a few of them have high rates. */
 function createRates (vmCount: number): Record<string, Rate> {
   const sizes: Rate[] = [200, 100, 40, 20, 10, 5, 2, 30].map(r => ({ statementsPerSecond: r, burst: Math.max(10, r) }))
   const count = Math.round(vmCount * 8 / 9)
   return Object.fromEntries(Array.from({ length: count }, (_, i) => [`workspace-${i}`, sizes[i % sizes.length]!]))
 }
 
-/** Each VM counts an equal part by itself. */
+/** Each VM enforces an equal part of every rate and burst, without messages to other VMs. */
 function createEqualSplit (rates: Record<string, Rate>, vmCount: number): LimitDecide {
   const buckets = new Map<string, TokenBucket>()
   return (state, input, nowMs) => {
@@ -58,6 +68,7 @@
   }
 }
 
+/** Spends one token of `bucket` to admit the request; refuses it when there is none. */
 function admitFromBucket (bucket: TokenBucket, requestId: number, nowMs: number): LimitEffect {
   if (countAvailable(bucket, nowMs) < 1) return { type: 'resolve', requestId, admission: { admitted: false, retryAfterMs: 1, reason: 'rate' } }
   reserveTokens(bucket, 1)
@@ -65,7 +76,10 @@
   return { type: 'resolve', requestId, admission: { admitted: true } }
 }
 
-/** One VM counts each workspace; every request asks it, and nothing guards against its loss. */
+/**
+ * One VM enforces the whole rate of a workspace, and every request costs a message to that VM and back.
+ * The scheme does not handle the loss of the VM.
+ */
 function createSingleOwner (rates: Record<string, Rate>, vmCount: number): LimitDecide {
   const buckets = new Map<string, TokenBucket>()
   return (state, input, nowMs) => {
@@ -92,12 +106,14 @@
   }
 }
 
+/** Time spent in decisions, and messages sent between VMs, summed over all VMs. */
 interface DecisionUsage {
   decideMs: number
   messages: number
   bytes: number
 }
 
+/** Wraps `decide` to add the time of each call to `usage`. */
 function measureDecisionUsage (decide: LimitDecide, usage: DecisionUsage): LimitDecide {
   return (state, input, nowMs) => {
     const startedAtMs = performance.now()
@@ -107,7 +123,7 @@
   }
 }
 
-/** Size of the state that a snapshot of it takes, as a floor of its memory. */
+/** Mean size of a VM's packed state in bytes, a lower bound of the memory that it takes. */
 function measureStateBytes (fleet: VirtualFleet): number {
   const sizes = fleet.vms.map(v => pack({ spender: v.state!.spender, ledger: v.state!.ledger, ownership: v.state!.ownership }).length)
   return sizes.reduce((a, b) => a + b, 0) / sizes.length
@@ -165,7 +181,7 @@
   return Object.fromEntries(Object.entries(row).map(([k, v]) => [k, typeof v === 'number' ? Number(v.toFixed(3)) : v]))
 }
 
-/** Wrongful refusals of one workspace of 100/s by the size of its burst. */
+/** Measures the wrongful refusals of a workspace with 100 statements per second, by the size of its burst. */
 function measureBursts (): Array<Record<string, number>> {
   return [5, 10, 20, 30, 50, 100].map(burst => {
     const rates = { single: { statementsPerSecond: 100, burst } }
--- a/packages/load/src/benchmarks/membership-faults.ts
+++ b/packages/load/src/benchmarks/membership-faults.ts
@@ -1,10 +1,11 @@
 import { VirtualFleet } from '../../../proxy/src/membership/virtual-fleet.ts'
 
 /**
- * Time in which all views follow large faults, by fleet size, under a virtual clock: a failure domain
- * that dies at once, a region that is cut off for a minute, and its return.
+ * Measures, by fleet size and on a simulated clock, how long all VMs' views take to converge after
+ * large faults: all VMs of a failure domain stop at once, a region is partitioned from the others for a
+ * minute, and the partition heals.
  *
- * Run: node --import=tsx packages/load/src/benchmarks/membership-faults.ts
+ * @example node --import=tsx packages/load/src/benchmarks/membership-faults.ts
  */
 
 const FLEET_SIZES = [9, 45, 90, 180]
@@ -25,7 +26,7 @@
   return fleet
 }
 
-/** Virtual time until `isDone`; `null` when that took longer than `LIMIT_MS`. */
+/** Simulated time until `isDone` returns true; `null` when that takes longer than `CONVERGENCE_TIMEOUT_MS`. */
 function measureSimulatedMs (fleet: VirtualFleet, isDone: () => boolean): number | null {
   const startedAtMs = fleet.nowMs
   while (!isDone()) {
@@ -42,6 +43,11 @@
   return measureSimulatedMs(fleet, () => fleet.hasConverged())
 }
 
+/**
+ * Partitions one region from the others. `separatedMs` is the time until each VM's view holds only the
+ * VMs of its side, `healedMs` the time from healing until all views agree again, and
+ * `deathsAfterHealing` counts how often a view declared a VM dead after the partition healed.
+ */
 function measureRegionPartition (size: number): { separatedMs: number | null, healedMs: number | null, deathsAfterHealing: number } {
   const fleet = startSettledFleet(size)
   const findSide = (vm: string) => Number(parseVmIndex(vm) % REGIONS === 0)
--- a/packages/load/src/benchmarks/membership-memory.ts
+++ b/packages/load/src/benchmarks/membership-memory.ts
@@ -4,13 +4,13 @@
 import { createMembershipState, readRing, type MembershipState } from '../../../proxy/src/membership/state.ts'
 
 /**
- * Memory of one VM's view, by fleet size, and bytes of a full sync.
+ * Measures the memory of one VM's membership view and the bytes of a full sync, by fleet size.
  *
- * Run: node --expose-gc --import=tsx packages/load/src/benchmarks/membership-memory.ts
+ * @example node --expose-gc --import=tsx packages/load/src/benchmarks/membership-memory.ts
  */
 
 const FLEET_SIZES = [9, 200, 860]
-/** Views built for one measurement, so that other allocations weigh little. */
+/** Views that one measurement creates; many of them make other allocations negligible. */
 const VIEW_COUNT = 50
 
 function createUpdate (i: number): MemberUpdate {
@@ -28,6 +28,7 @@
   }
 }
 
+/** Member updates of a full sync, split into the messages that carry them. */
 function createSyncChunks (size: number): MemberUpdate[][] {
   const chunks: MemberUpdate[][] = []
   for (let i = 0; i < size; i += SYNC_CHUNK_SIZE) {
--- a/packages/load/src/benchmarks/membership.ts
+++ b/packages/load/src/benchmarks/membership.ts
@@ -4,14 +4,15 @@
 import { VirtualFleet, type DecideMembership } from '../../../proxy/src/membership/virtual-fleet.ts'
 
 /**
- * Cost and quality of membership by fleet size, with the decisions of all VMs in one process under a
- * virtual clock. Bytes are those of the packed messages sent by a VM, without the links' own framing;
- * CPU is that of deciding and packing.
+ * Measures the cost and the accuracy of membership by fleet size and message loss, with the decisions of
+ * all VMs in one process on a simulated clock. Bytes are those of the packed messages that a VM sends,
+ * without the framing of the links; CPU is the time to decide and to pack.
  *
- * Run: node --import=tsx packages/load/src/benchmarks/membership.ts
+ * @example node --import=tsx packages/load/src/benchmarks/membership.ts
  */
 
 const FLEET_SIZES = [9, 50, 200]
+/** Fractions of messages that the simulated network loses. */
 const LOSS_FRACTIONS = [0, 0.3]
 const SETTLE_DURATION_MS = 120_000
 const MEASURE_DURATION_MS = 30_000
@@ -32,7 +33,9 @@
   messagesPerVmSecond: number
   bytesPerVmSecond: number
   cpuMicrosPerVmSecond: number
+  /** Distinct incarnations of VMs that were suspected while all VMs ran. */
   wrongSuspicionsPerVmHour: number
+  /** Times that a view declared a running VM dead. */
   wrongDeathViews: number
 }
 
@@ -53,6 +56,7 @@
   return { fleet: new VirtualFleet({ size, seed: size, loss, decide, handleSend }), usage }
 }
 
+/** Stops a VM and measures the simulated time until no running VM's view holds it. */
 function measureDetection (fleet: VirtualFleet): number {
   const stoppedAtMs = fleet.nowMs
   fleet.stopVm('vm-1')
@@ -85,7 +89,7 @@
   return Math.round(value * 10) / 10
 }
 
-/** Growth per added VM between the smallest and the largest fleet, without loss. */
+/** Growth per added VM from the smallest to the largest fleet, without message loss. */
 function computeSlope (rows: readonly FleetResult[], key: 'bytesPerVmSecond' | 'cpuMicrosPerVmSecond' | 'detectionMs'): number {
   const losslessRows = rows.filter(r => r.loss === 0)
   const smallestFleet = losslessRows[0]!
--- a/packages/load/src/benchmarks/placement.ts
+++ b/packages/load/src/benchmarks/placement.ts
@@ -3,9 +3,10 @@
 import { selectServingVms, SERVING_VM_COUNT, type Candidate } from '../../../proxy/src/membership/placement.ts'
 
 /**
- * Time to place all databases and to follow a change of one member, and the share of places that move when one VM leaves.
+ * Measures the time to select the serving VMs of all databases, the time to update the placement table
+ * after a change of one member, and the fraction of places that move when one VM leaves.
  *
- * Run: node --import=tsx packages/load/src/benchmarks/placement.ts
+ * @example node --import=tsx packages/load/src/benchmarks/placement.ts
  */
 
 const FLEETS = [{ vms: 9, databases: 3 }, { vms: 200, databases: 400 }, { vms: 860, databases: 1_500 }]
@@ -24,7 +25,7 @@
   return Array.from({ length: databases }, (_, i) => selectServingVms(`db-${i}`, members))
 }
 
-/** Time to fill the table at the start, and for each of some members that leave and return. */
+/** Measures the time to fill the table at the start, and the mean time of an update when a member leaves or returns. */
 function measureTable (members: readonly Candidate[], databases: number): { tableMs: number, changeMs: number } {
   const table = new PlacementTable()
   const placed = Array.from({ length: databases }, (_, i) => ({ database: `db-${i}`, regions: [] }))
--- a/packages/load/src/benchmarks/pool.ts
+++ b/packages/load/src/benchmarks/pool.ts
@@ -3,10 +3,11 @@
 import { computePoolLimits, createPoolState } from '../../../proxy/src/pool/state.ts'
 
 /**
- * CPU of the pool decision for one statement, and memory of a waiting request, by the number of
- * workspaces and of requests that wait. No sockets and no actor.
+ * Measures the CPU time of the pool's decisions for one statement and the memory of a waiting request,
+ * by the number of workspaces and of waiting requests. Calls the decision function directly, without
+ * sockets or an actor.
  *
- * Run: node --expose-gc --import=tsx packages/load/src/benchmarks/pool.ts
+ * @example node --expose-gc --import=tsx packages/load/src/benchmarks/pool.ts
  */
 
 const WORKSPACE_COUNTS = [8, 64, 256]
@@ -14,6 +15,7 @@
 const STATEMENT_COUNT = 5_000
 const DEADLINE_MS = 1e9
 
+/** `bytesPerWaiting` is `null` without waiting requests, or when the process runs without `--expose-gc`. */
 interface PoolCost { workspaces: number, waiting: number, microsPerStatement: number, bytesPerWaiting: number | null }
 
 function measureHeapBytes (): number {
--- a/packages/load/src/benchmarks/serving.ts
+++ b/packages/load/src/benchmarks/serving.ts
@@ -10,12 +10,13 @@
 import { startFleet, type Fleet } from '../fleet/start-fleet.ts'
 
 /**
- * Cost of a statement through `DatabaseService` against a direct connection to the same stand-ins, in
- * one run, and the share of reads that replicas serve against the best possible.
+ * Compares the cost of a statement through `DatabaseService` with that of a direct connection to the
+ * same stand-ins, in one run, and the fraction of reads that replicas serve with the highest possible one.
  *
- * Stand-ins run as processes of their own; CPU is that of this process, which holds the service and the
- * callers, and so the direct connections too. Run after `npm run build`:
- * node --import=tsx packages/load/src/benchmarks/serving.ts
+ * Each stand-in runs in a separate process. The CPU time is that of this process, which runs the service,
+ * the clients and the direct connections.
+ *
+ * @example npm run build && node --import=tsx packages/load/src/benchmarks/serving.ts
  */
 
 const DATABASE = 'orders'
@@ -25,6 +26,7 @@
 const ROUNDS_PER_SESSION = 120
 const SESSION_COUNT = 4
 
+/** Placement of a fleet with this VM only, which serves every database. */
 class SingleVmPlacement extends PlacementView {
   override listServingVms (): readonly string[] { return [] }
   override listRanking (): readonly string[] { return [] }
@@ -85,6 +87,7 @@
   }
 }
 
+/** @throws Error when the statement is refused or fails; the message holds the last frame as JSON */
 async function runStatement (service: DatabaseService, request: StatementRequest): Promise<AnswerFrame[]> {
   const frames: AnswerFrame[] = []
   for await (const f of service.run(request)) frames.push(f)
@@ -93,8 +96,10 @@
   return frames
 }
 
+/** Cost of one statement on one path; times in microseconds, `perSecond` is the throughput of all clients together. */
 interface StatementCost { statement: string, concurrency: number, path: string, meanUs: number, p99Us: number, perSecond: number, cpuUs: number }
 
+/** Runs statements on `concurrency` clients at once; `run` executes one statement for the client with the given number. */
 async function measureCost (statement: string, path: string, concurrency: number, run: (client: number) => Promise<unknown>): Promise<StatementCost> {
   const clients = Array.from({ length: concurrency }, (_, i) => i)
   await Promise.all(clients.map(async client => { for (let i = 0; i < 50; i++) await run(client) }))
@@ -145,12 +150,17 @@
   return costs
 }
 
+/**
+ * Reads served by replicas: `share` is the fraction of all reads, `bestShare` the fraction of reads that
+ * some replica could have served.
+ */
 interface ReplicaReadFraction { applyDelayMs: number, reads: number, byReplica: number, bestPossible: number, share: number, bestShare: number, readMeanMs: number }
 
 async function setFaults (fleet: Fleet, faults: object): Promise<void> {
   await Promise.all(fleet.endpoints.map(e => fetch(`${e.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(faults) })))
 }
 
+/** Reads of the table that each endpoint has executed, in the order of `fleet.endpoints`. */
 async function countReadsByEndpoint (fleet: Fleet): Promise<number[]> {
   return await Promise.all(fleet.endpoints.map(async e => {
     const record = await (await fetch(`${e.controlUrl}/record`)).json() as { statements: Array<{ text: string }> }
@@ -158,7 +168,10 @@
   }))
 }
 
-/** Sessions write, think, and read; a read has a best possible replica when the write's delay had passed as it began. */
+/**
+ * Runs sessions that write, pause and then read their own write. A replica could have served the read
+ * when at least `applyDelayMs` passed between sending the write and sending the read.
+ */
 async function measureReplicaReadFraction ({ fleet, service, group }: ServingBenchmark, applyDelayMs: number): Promise<ReplicaReadFraction> {
   await setFaults(fleet, { applyDelayMs })
   const readsBefore = await countReadsByEndpoint(fleet)
@@ -188,6 +201,7 @@
   return { applyDelayMs, reads, byReplica, bestPossible, share: round(byReplica / reads), bestShare: round(bestPossible / reads), readMeanMs: round(totalReadMs / reads) }
 }
 
+/** Ratios of each path through the service to the direct connection for the same statement and concurrency. */
 function computeRatios (costs: readonly StatementCost[]) {
   return costs.filter(c => c.path.startsWith('service')).map(c => {
     const direct = costs.find(d => d.statement === c.statement && d.concurrency === c.concurrency && d.path.startsWith('direct')) as StatementCost
