--- a/packages/load/src/bench.ts
+++ b/packages/load/src/bench.ts
@@ -14,17 +14,17 @@
 const WORKSPACE = 'bench'
 const DATABASE = 'bench'
 const ROUNDS = 3
-const ROUND_MS = 2_000
+const ROUND_DURATION_MS = 2_000
 const CLIENT_COUNTS = [1, 3]
-const SETTLE_MS = 2_000
-const TABLE = 'CREATE TABLE IF NOT EXISTS bench_entries (id INTEGER, quantity INTEGER)'
+const SETTLE_DURATION_MS = 2_000
+const CREATE_TABLE = 'CREATE TABLE IF NOT EXISTS bench_entries (id INTEGER, quantity INTEGER)'
 
-const operations = {
+const statementFormats = {
   read: () => 'SELECT COUNT(*) FROM bench_entries WHERE id = -1',
   write: (n: number) => `INSERT INTO bench_entries VALUES (${n}, 1)`
 }
 
-interface Row {
+interface OperationResult {
   operation: string
   clients: number
   direct: PathResult
@@ -43,19 +43,19 @@
   const direct = { host: fleet.host, port: fleet.endpoints[0]!.port, user: 'camphorpitch', password: '' }
   const proxy = { host: fleet.host, port: fleet.vms[0]!.callersPort, user: WORKSPACE, password: key, database: DATABASE }
   await createTable(proxy)
-  await wait(SETTLE_MS)
+  await wait(SETTLE_DURATION_MS)
   return { fleet, direct, proxy }
 }
 
 async function createTable (options: PoolOptions): Promise<void> {
-  for (let left = 50; ; left--) {
+  for (let retriesLeft = 50; ; retriesLeft--) {
     try {
       const connection = await createConnection(options)
-      await connection.query(TABLE)
+      await connection.query(CREATE_TABLE)
       await connection.end()
       return
     } catch (error) {
-      if (left === 0) throw error
+      if (retriesLeft === 0) throw error
       await wait(200)
     }
   }
@@ -71,56 +71,56 @@
   }
 }
 
-async function measureOperation (bench: Awaited<ReturnType<typeof startBenchFleet>>, operation: keyof typeof operations, clients: number): Promise<Row> {
-  const formatStatement = operations[operation]
-  const { host, metricsPort } = { host: bench.fleet.host, metricsPort: bench.fleet.vms[0]!.metricsPort }
-  const direct: PathResult[] = []
-  const proxied: PathResult[] = []
+async function measureOperation (benchFleet: Awaited<ReturnType<typeof startBenchFleet>>, operation: keyof typeof statementFormats, clients: number): Promise<OperationResult> {
+  const formatStatement = statementFormats[operation]
+  const { host, metricsPort } = { host: benchFleet.fleet.host, metricsPort: benchFleet.fleet.vms[0]!.metricsPort }
+  const directResults: PathResult[] = []
+  const proxyResults: PathResult[] = []
   let cpuSeconds = 0
   for (let round = 0; round < ROUNDS; round++) {
-    direct.push(await measurePath({ connection: bench.direct, clients, durationMs: ROUND_MS, formatStatement }))
-    const before = await readCpuSeconds(host, metricsPort)
-    proxied.push(await measurePath({ connection: bench.proxy, clients, durationMs: ROUND_MS, formatStatement }))
-    cpuSeconds += await readCpuSeconds(host, metricsPort) - before
+    directResults.push(await measurePath({ connection: benchFleet.direct, clients, durationMs: ROUND_DURATION_MS, formatStatement }))
+    const cpuSecondsBefore = await readCpuSeconds(host, metricsPort)
+    proxyResults.push(await measurePath({ connection: benchFleet.proxy, clients, durationMs: ROUND_DURATION_MS, formatStatement }))
+    cpuSeconds += await readCpuSeconds(host, metricsPort) - cpuSecondsBefore
   }
-  const a = mergeResults(direct)
-  const b = mergeResults(proxied)
+  const directResult = mergeResults(directResults)
+  const proxyResult = mergeResults(proxyResults)
   return {
     operation,
     clients,
-    direct: a,
-    proxy: b,
-    throughputRatio: b.statementsPerSecond / a.statementsPerSecond,
-    p50Ratio: b.p50Ms / a.p50Ms,
-    p99Ratio: b.p99Ms / a.p99Ms,
-    cpuMicrosPerStatement: cpuSeconds * 1_000_000 / b.statements
+    direct: directResult,
+    proxy: proxyResult,
+    throughputRatio: proxyResult.statementsPerSecond / directResult.statementsPerSecond,
+    p50Ratio: proxyResult.p50Ms / directResult.p50Ms,
+    p99Ratio: proxyResult.p99Ms / directResult.p99Ms,
+    cpuMicrosPerStatement: cpuSeconds * 1_000_000 / proxyResult.statements
   }
 }
 
-function printRow ({ operation, clients, direct, proxy, ...rest }: Row): Record<string, string | number> {
+function formatRow ({ operation, clients, direct, proxy, ...comparison }: OperationResult): Record<string, string | number> {
   return {
     operation,
     clients,
     'direct/s': direct.statementsPerSecond,
     'proxy/s': proxy.statementsPerSecond,
-    ratio: rest.throughputRatio.toFixed(2),
+    ratio: comparison.throughputRatio.toFixed(2),
     'direct p50 ms': direct.p50Ms.toFixed(2),
     'proxy p50 ms': proxy.p50Ms.toFixed(2),
     'direct p99 ms': direct.p99Ms.toFixed(2),
     'proxy p99 ms': proxy.p99Ms.toFixed(2),
-    'proxy CPU us/statement': rest.cpuMicrosPerStatement.toFixed(0)
+    'proxy CPU us/statement': comparison.cpuMicrosPerStatement.toFixed(0)
   }
 }
 
 handleInterrupt()
-const bench = await startBenchFleet()
+const benchFleet = await startBenchFleet()
 try {
-  const rows: Row[] = []
+  const rows: OperationResult[] = []
   for (const operation of ['read', 'write'] as const) {
-    for (const clients of CLIENT_COUNTS) rows.push(await measureOperation(bench, operation, clients))
+    for (const clients of CLIENT_COUNTS) rows.push(await measureOperation(benchFleet, operation, clients))
   }
-  console.table(rows.map(printRow))
+  console.table(rows.map(formatRow))
   console.log(JSON.stringify({ benchmark: 'statements', rows }))
 } finally {
-  await bench.fleet.stop()
+  await benchFleet.fleet.stop()
 }
--- a/packages/load/src/bench/measure-path.ts
+++ b/packages/load/src/bench/measure-path.ts
@@ -1,7 +1,7 @@
 import { build } from 'hdr-histogram-js'
 import { createPool, type PoolOptions } from 'mysql2/promise'
 
-const MAX_MICROS = 60_000_000
+const MAX_LATENCY_MICROSECONDS = 60_000_000
 
 /** What one path to the database delivered. */
 export interface PathResult {
@@ -22,20 +22,20 @@
 /** Runs statements one after the other on each client for a time. */
 export async function measurePath ({ connection, clients, durationMs, formatStatement }: PathOptions): Promise<PathResult> {
   const pool = createPool({ ...connection, connectionLimit: clients })
-  const histogram = build({ highestTrackableValue: MAX_MICROS, numberOfSignificantValueDigits: 3 })
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROSECONDS, numberOfSignificantValueDigits: 3 })
   let statements = 0
-  const startedAt = performance.now()
+  const startedAtMs = performance.now()
   const runClient = async () => {
     const client = await pool.getConnection()
-    while (performance.now() - startedAt < durationMs) {
-      const sentAt = performance.now()
+    while (performance.now() - startedAtMs < durationMs) {
+      const sentAtMs = performance.now()
       await client.query(formatStatement(statements++))
-      histogram.recordValue(Math.min(MAX_MICROS, Math.round((performance.now() - sentAt) * 1_000)))
+      histogram.recordValue(Math.min(MAX_LATENCY_MICROSECONDS, Math.round((performance.now() - sentAtMs) * 1_000)))
     }
     client.release()
   }
   await Promise.all(Array.from({ length: clients }, runClient))
-  const elapsedMs = performance.now() - startedAt
+  const elapsedMs = performance.now() - startedAtMs
   await pool.end()
   return {
     statements,
