--- a/packages/load/src/baseline/naive-target.ts
+++ b/packages/load/src/baseline/naive-target.ts
@@ -30,15 +30,15 @@
   }
 
   /** The pool of one VM to a database's first primary. */
-  findPool (vmIndex: number, database: string): Pool {
+  ensurePool (vmIndex: number, database: string): Pool {
     const vm = vmIndex % this.#experiment.fleet.vms
-    const name = `${vm}/${database}`
-    const found = this.#pools.get(name)
-    if (found !== undefined) return found
+    const poolName = `${vm}/${database}`
+    const existingPool = this.#pools.get(poolName)
+    if (existingPool !== undefined) return existingPool
     const { port } = this.#endpoints.find(e => e.database === database)!
     const connectionLimit = Math.max(1, Math.floor(this.#experiment.fleet.maxConnections / this.#experiment.fleet.vms))
     const pool = createPool({ host: '127.0.0.1', port, user: 'camphorpitch', password: '', connectionLimit })
-    this.#pools.set(name, pool)
+    this.#pools.set(poolName, pool)
     return pool
   }
 
@@ -46,14 +46,14 @@
   spendToken (vmIndex: number, workspace: string): boolean {
     const { fleet, workspaces } = this.#experiment
     const { rate } = workspaces.find(w => w.workspace === workspace)!
-    const name = `${vmIndex % fleet.vms}/${workspace}`
+    const bucketName = `${vmIndex % fleet.vms}/${workspace}`
     const burst = Math.max(1, rate.burst / fleet.vms)
     const nowMs = performance.now()
-    const bucket = this.#buckets.get(name) ?? { tokens: burst, atMs: nowMs }
-    const refilled = (nowMs - bucket.atMs) * rate.statementsPerSecond / fleet.vms / 1_000
-    const tokens = Math.min(burst, bucket.tokens + refilled)
+    const bucket = this.#buckets.get(bucketName) ?? { tokens: burst, atMs: nowMs }
+    const refilledTokens = (nowMs - bucket.atMs) * rate.statementsPerSecond / fleet.vms / 1_000
+    const tokens = Math.min(burst, bucket.tokens + refilledTokens)
     const isAdmitted = tokens >= 1
-    this.#buckets.set(name, { tokens: isAdmitted ? tokens - 1 : tokens, atMs: nowMs })
+    this.#buckets.set(bucketName, { tokens: isAdmitted ? tokens - 1 : tokens, atMs: nowMs })
     return isAdmitted
   }
 
@@ -67,7 +67,7 @@
   readonly #options: SessionOptions
   #vmIndex: number
   /** Connection of the open transaction. */
-  #pinned: PoolConnection | null = null
+  #transactionConnection: PoolConnection | null = null
 
   constructor (target: NaiveTarget, options: SessionOptions) {
     super()
@@ -79,11 +79,11 @@
   override async run (text: string): Promise<string | null> {
     const { workspace, database } = this.#options
     if (text !== 'ROLLBACK' && !this.#target.spendToken(this.#vmIndex, workspace)) throw createRateError()
-    const pool = this.#target.findPool(this.#vmIndex, database)
-    if (text === 'BEGIN') this.#pinned = await pool.getConnection()
-    if (text === 'ROLLBACK' && this.#pinned === null) return null
-    const [rows] = await (this.#pinned ?? pool).query({ sql: text, timeout: this.#options.timeoutMs })
-    if (text === 'COMMIT' || text === 'ROLLBACK') this.#releasePinned()
+    const pool = this.#target.ensurePool(this.#vmIndex, database)
+    if (text === 'BEGIN') this.#transactionConnection = await pool.getConnection()
+    if (text === 'ROLLBACK' && this.#transactionConnection === null) return null
+    const [rows] = await (this.#transactionConnection ?? pool).query({ sql: text, timeout: this.#options.timeoutMs })
+    if (text === 'COMMIT' || text === 'ROLLBACK') this.#releaseTransactionConnection()
     if (!Array.isArray(rows)) return null
     const first = (rows as RowDataPacket[])[0]
     return first === undefined ? null : String(Object.values(first)[0])
@@ -94,13 +94,13 @@
   }
 
   override close (): void {
-    this.#pinned?.destroy()
-    this.#pinned = null
+    this.#transactionConnection?.destroy()
+    this.#transactionConnection = null
   }
 
-  #releasePinned (): void {
-    this.#pinned?.release()
-    this.#pinned = null
+  #releaseTransactionConnection (): void {
+    this.#transactionConnection?.release()
+    this.#transactionConnection = null
   }
 }
 
