--- a/packages/load/src/demo.ts
+++ b/packages/load/src/demo.ts
@@ -1,6 +1,6 @@
 import { createWorkspace } from './demo/callers.ts'
 import { StepRunner } from './demo/step.ts'
-import { runFailover, runFirstWrite, runForeignKey, runPlannedStop, runRoamingRead, runTransaction, runWithdrawal, type DemoContext } from './demo/steps.ts'
+import { runFailover, runFirstWrite, runWrongKeyLogin, runPlannedStop, runReadThroughAnotherVm, runTransaction, runKeyWithdrawal, type DemoContext } from './demo/steps.ts'
 import { startFleet, type Fleet } from './fleet/start-fleet.ts'
 
 const WORKSPACE = 'fjordlakk-demo'
@@ -10,15 +10,15 @@
 async function runSteps (context: DemoContext): Promise<void> {
   const { steps } = context
   await steps.runStep('write through the first proxy', async () => await runFirstWrite(context))
-  await steps.runStep('read own write through another proxy', async () => await runRoamingRead(context))
-  await steps.runStep('refuse a foreign key', async () => await runForeignKey(context))
+  await steps.runStep('read own write through another proxy', async () => await runReadThroughAnotherVm(context))
+  await steps.runStep('refuse a foreign key', async () => await runWrongKeyLogin(context))
   await steps.runStep('commit a transaction', async () => await runTransaction(context))
   await steps.runStep('go on after the primary is killed', async () => await runFailover(context))
-  await steps.runStep('withdraw a key', async () => await runWithdrawal(context))
+  await steps.runStep('withdraw a key', async () => await runKeyWithdrawal(context))
   await steps.runStep('planned stop', async () => await runPlannedStop(context))
 }
 
-function printConnections (fleet: Fleet, key: string): void {
+function printConnectionCommands (fleet: Fleet, key: string): void {
   for (const v of fleet.vms) {
     process.stdout.write(`mysql --host=${fleet.host} --port=${v.callersPort} --user=${WORKSPACE} --password=${key} ${DATABASE}   # ${v.vm}\n`)
   }
@@ -32,7 +32,7 @@
   })
 }
 
-async function runDemo (keep: boolean): Promise<boolean> {
+async function runDemo (keepRunning: boolean): Promise<boolean> {
   const steps = new StepRunner()
   let fleet: Fleet | undefined
   try {
@@ -41,18 +41,18 @@
       return 'as separate processes'
     })
     if (fleet === undefined) return false
-    const granted = await createWorkspace(fleet, { workspace: WORKSPACE, databases: [DATABASE], rate: RATE })
-    if (keep) {
-      printConnections(fleet, granted.key)
+    const workspaceKey = await createWorkspace(fleet, { workspace: WORKSPACE, databases: [DATABASE], rate: RATE })
+    if (keepRunning) {
+      printConnectionCommands(fleet, workspaceKey.key)
       await waitForInterrupt()
       return true
     }
-    await runSteps({ fleet, workspace: WORKSPACE, database: DATABASE, granted, steps, acknowledged: [] })
+    await runSteps({ fleet, workspace: WORKSPACE, database: DATABASE, workspaceKey, steps, acknowledged: [] })
     return !steps.hasFailed
   } finally {
     await fleet?.stop()
   }
 }
 
-const succeeded = await runDemo(process.argv.includes('--keep'))
-process.exit(succeeded ? 0 : 1)
+const hasSucceeded = await runDemo(process.argv.includes('--keep'))
+process.exit(hasSucceeded ? 0 : 1)
--- a/packages/load/src/demo/callers.ts
+++ b/packages/load/src/demo/callers.ts
@@ -4,14 +4,14 @@
 import type { Fleet, FleetVm } from '../fleet/start-fleet.ts'
 
 /** A workspace's key, as a caller holds it. */
-export interface GrantedKey {
+export interface WorkspaceKey {
   id: string
   key: string
 }
 
 const KEY_BYTES = 24
-const MAX_REPEATS = 50
-const DEFAULT_RETRY_MS = 50
+const MAX_RETRIES = 50
+const DEFAULT_RETRY_DELAY_MS = 50
 
 export interface WorkspaceOptions {
   workspace: string
@@ -22,15 +22,15 @@
 }
 
 /** Writes a contract and a ring with one new key. */
-export async function createWorkspace ({ objectClient }: Fleet, { workspace, databases, rate, statementTimeoutMs, maxConnectionsPerVm }: WorkspaceOptions): Promise<GrantedKey> {
-  const granted: GrantedKey = { id: 'key-1', key: randomBytes(KEY_BYTES).toString('base64url') }
+export async function createWorkspace ({ objectClient }: Fleet, { workspace, databases, rate, statementTimeoutMs, maxConnectionsPerVm }: WorkspaceOptions): Promise<WorkspaceKey> {
+  const workspaceKey: WorkspaceKey = { id: 'key-1', key: randomBytes(KEY_BYTES).toString('base64url') }
   const access = Object.fromEntries(databases.map(d => [d, {}]))
   await objectClient.writeObject('contract', workspace, 0, { workspace, rate, databases: access, statementTimeoutMs, maxConnectionsPerVm })
-  await objectClient.writeObject('key-ring', workspace, 0, createRing(workspace, [granted]))
-  return granted
+  await objectClient.writeObject('key-ring', workspace, 0, createKeyRing(workspace, [workspaceKey]))
+  return workspaceKey
 }
 
-export function createRing (workspace: string, keys: GrantedKey[]): KeyRing {
+export function createKeyRing (workspace: string, keys: WorkspaceKey[]): KeyRing {
   const grantedAt = new Date().toISOString()
   return { workspace, keys: keys.map(k => ({ id: k.id, digest: computeKeyDigest(k.key), grantedAt, note: '' })) }
 }
@@ -47,22 +47,22 @@
  *
  * @throws the first other error, or the last refusal after many
  */
-export async function runPatiently (connection: Connection, text: string): Promise<unknown> {
+export async function runWithRetries (connection: Connection, text: string): Promise<unknown> {
   for (let i = 0; ; i++) {
     try {
       const [result] = await connection.query(text)
       return result
     } catch (error) {
       const { errno, message } = error as { errno?: number, message: string }
-      if (errno !== RefusalCode.notRunRetry || i >= MAX_REPEATS) throw error
-      await new Promise(resolve => setTimeout(resolve, parseRetryAfterMs(message) ?? DEFAULT_RETRY_MS))
+      if (errno !== RefusalCode.notRunRetry || i >= MAX_RETRIES) throw error
+      await new Promise(resolve => setTimeout(resolve, parseRetryAfterMs(message) ?? DEFAULT_RETRY_DELAY_MS))
     }
   }
 }
 
 /** First column of the first row, as text. */
 export async function readValue (connection: Connection, text: string): Promise<string | undefined> {
-  const rows = await runPatiently(connection, text) as RowDataPacket[]
+  const rows = await runWithRetries(connection, text) as RowDataPacket[]
   const first = rows[0]
   return first === undefined ? undefined : String(Object.values(first)[0])
 }
--- a/packages/load/src/demo/step.ts
+++ b/packages/load/src/demo/step.ts
@@ -19,36 +19,36 @@
 
   /** Runs one step; a thrown error marks the run as failed and is printed. `run` returns what is worth showing. */
   async runStep (title: string, run: () => Promise<string>): Promise<void> {
-    const startedMs = performance.now()
+    const startedAtMs = performance.now()
     try {
       const detail = await run()
-      this.#print(title, performance.now() - startedMs, 'ok', detail)
+      this.#reportStep(title, performance.now() - startedAtMs, 'ok', detail)
     } catch (error) {
       this.#failed = true
-      this.#print(title, performance.now() - startedMs, 'FAILED', describeError(error))
+      this.#reportStep(title, performance.now() - startedAtMs, 'FAILED', describeError(error))
     }
   }
 
-  #print (title: string, elapsedMs: number, verdict: string, detail: string): void {
+  #reportStep (title: string, elapsedMs: number, verdict: string, detail: string): void {
     this.#results.push({ title, elapsedMs, detail })
     process.stdout.write(`${elapsedMs.toFixed(0).padStart(6)} ms  ${verdict.padEnd(6)}  ${title}: ${detail}\n`)
   }
 }
 
 /** @throws FleetError when the condition does not hold */
-export function checkThat (condition: boolean, message: string): void {
+export function checkCondition (condition: boolean, message: string): void {
   if (!condition) throw new FleetError(message)
 }
 
 /** Waits until `probe` gives something other than `undefined`; @throws FleetError after `timeoutMs` */
-export async function waitFor<T> (what: string, timeoutMs: number, probe: () => Promise<T | undefined>): Promise<T> {
+export async function waitForValue<T> (description: string, timeoutMs: number, probe: () => Promise<T | undefined>): Promise<T> {
   const deadlineMs = performance.now() + timeoutMs
   while (performance.now() < deadlineMs) {
     const value = await probe()
     if (value !== undefined) return value
     await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS))
   }
-  throw new FleetError(`${what}: not within ${timeoutMs} ms`)
+  throw new FleetError(`${description}: not within ${timeoutMs} ms`)
 }
 
 const POLL_INTERVAL_MS = 20
