--- a/packages/load/src/bench.ts
+++ b/packages/load/src/bench.ts
@@ -6,9 +6,10 @@
 import { createConnection, type PoolOptions } from 'mysql2/promise'
 
 /**
- * Compares statements through one proxy with a direct connection to the primary, in one run, in turns.
+ * Compares statements through one proxy with statements on direct connections to the primary. Both
+ * paths are measured in alternating rounds of one run.
  *
- * Run: npm run bench
+ * @example npm run bench
  */
 
 const WORKSPACE = 'bench'
@@ -29,11 +30,11 @@
   clients: number
   direct: PathResult
   proxy: PathResult
-  /** Statements a second through the proxy, as a part of those of the direct connection. */
+  /** Throughput through the proxy divided by that of the direct connections. */
   throughputRatio: number
   p50Ratio: number
   p99Ratio: number
-  /** Processor time of the proxy per statement. */
+  /** CPU time of the proxy per statement, in microseconds. */
   cpuMicrosPerStatement: number
 }
 
@@ -47,6 +48,7 @@
   return { fleet, direct, proxy }
 }
 
+/** Creates the table through the proxy, with retries until the proxy has received the workspace's contract and keys. */
 async function createTable (options: PoolOptions): Promise<void> {
   for (let retriesLeft = 50; ; retriesLeft--) {
     try {
@@ -61,6 +63,7 @@
   }
 }
 
+/** Merges the results of all rounds: the sum of the statements and the median of each other value. */
 function mergeResults (results: readonly PathResult[]): PathResult {
   const pickMedian = (key: keyof PathResult) => results.map(r => r[key]).sort((a, b) => a - b)[Math.floor(results.length / 2)]!
   return {
--- a/packages/load/src/bench/measure-path.ts
+++ b/packages/load/src/bench/measure-path.ts
@@ -1,9 +1,10 @@
 import { build } from 'hdr-histogram-js'
 import { createPool, type PoolOptions } from 'mysql2/promise'
 
+/** Longest latency that the histogram can record; longer ones count as this long. */
 const MAX_LATENCY_MICROSECONDS = 60_000_000
 
-/** What one path to the database delivered. */
+/** Number, throughput and latencies of the statements that one path to the database executed. */
 export interface PathResult {
   statements: number
   statementsPerSecond: number
@@ -13,13 +14,18 @@
 
 export interface PathOptions {
   connection: PoolOptions
+  /** Connections that execute statements at the same time. */
   clients: number
   durationMs: number
-  /** Text of the n-th statement. */
+  /** Returns the text of the n-th statement, counted from 0 over all clients. */
   formatStatement: (n: number) => string
 }
 
-/** Runs statements one after the other on each client for a time. */
+/**
+ * Runs statements one after the other on each client for `durationMs` and measures them.
+ *
+ * @throws Error when a connection cannot be opened or a statement fails
+ */
 export async function measurePath ({ connection, clients, durationMs, formatStatement }: PathOptions): Promise<PathResult> {
   const pool = createPool({ ...connection, connectionLimit: clients })
   const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROSECONDS, numberOfSignificantValueDigits: 3 })
@@ -45,7 +51,7 @@
   }
 }
 
-/** Processor seconds that a proxy has used, from its metrics. */
+/** CPU seconds that a proxy has used since its start, from its metrics; `NaN` when they don't contain the value. */
 export async function readCpuSeconds (host: string, metricsPort: number): Promise<number> {
   const response = await fetch(`http://${host}:${metricsPort}/metrics`)
   const match = /^process_cpu_seconds_total ([\d.e+-]+)/m.exec(await response.text())
