--- a/packages/load/src/baseline/naive-target.ts
+++ b/packages/load/src/baseline/naive-target.ts
@@ -6,12 +6,14 @@
 
 interface NaiveBucket {
   tokens: number
+  /** Time at which `tokens` was computed. */
   atMs: number
 }
 
 /**
- * The obvious way, for comparison: each VM has an equal part of every rate, burst and connection limit,
- * everything runs at the first primary, and only an operator could name another.
+ * Baseline for comparison with the proxy. Each VM has an equal part of every rate, burst and connection
+ * limit. All statements run on the initial primary; there is no failover, as only an operator could
+ * appoint another primary.
  */
 export class NaiveTarget extends LoadTarget {
   readonly #experiment: Experiment
@@ -29,7 +31,7 @@
     return new NaiveSession(this, options)
   }
 
-  /** The pool of one VM to a database's first primary. */
+  /** Returns the connection pool of one VM to the initial primary of a database; creates it at first use. */
   ensurePool (vmIndex: number, database: string): Pool {
     const vm = vmIndex % this.#experiment.fleet.vms
     const poolName = `${vm}/${database}`
@@ -42,7 +44,7 @@
     return pool
   }
 
-  /** Takes one token of the VM's equal part of the workspace's rate. */
+  /** Spends one token of the VM's equal part of the workspace's rate; returns false when there is none. */
   spendToken (vmIndex: number, workspace: string): boolean {
     const { fleet, workspaces } = this.#experiment
     const { rate } = workspaces.find(w => w.workspace === workspace)!
