--- a/packages/load/src/demo.ts
+++ b/packages/load/src/demo.ts
@@ -10,19 +10,20 @@
 async function runSteps (context: DemoContext): Promise<void> {
   const { steps } = context
   await steps.runStep('write through the first proxy', async () => await runFirstWrite(context))
-  await steps.runStep('read own write through another proxy', async () => await runReadThroughAnotherVm(context))
-  await steps.runStep('refuse a foreign key', async () => await runWrongKeyLogin(context))
+  await steps.runStep('read the write through another proxy', async () => await runReadThroughAnotherVm(context))
+  await steps.runStep('refuse a login with a wrong key', async () => await runWrongKeyLogin(context))
   await steps.runStep('commit a transaction', async () => await runTransaction(context))
-  await steps.runStep('go on after the primary is killed', async () => await runFailover(context))
-  await steps.runStep('withdraw a key', async () => await runKeyWithdrawal(context))
-  await steps.runStep('planned stop', async () => await runPlannedStop(context))
+  await steps.runStep('fail over after the primary is killed', async () => await runFailover(context))
+  await steps.runStep('refuse a client whose key is withdrawn', async () => await runKeyWithdrawal(context))
+  await steps.runStep('stop the proxies as planned', async () => await runPlannedStop(context))
 }
 
+/** Prints the command with which a MySQL client connects to each proxy. */
 function printConnectionCommands (fleet: Fleet, key: string): void {
   for (const v of fleet.vms) {
     process.stdout.write(`mysql --host=${fleet.host} --port=${v.callersPort} --user=${WORKSPACE} --password=${key} ${DATABASE}   # ${v.vm}\n`)
   }
-  process.stdout.write(`object service: ${fleet.platformUrl}\nCtrl-C ends everything.\n`)
+  process.stdout.write(`object service: ${fleet.platformUrl}\nPress Ctrl-C to stop the fleet.\n`)
 }
 
 async function waitForInterrupt (): Promise<void> {
@@ -32,6 +33,7 @@
   })
 }
 
+/** Starts a fleet and runs the demo's steps; with `keepRunning` prints how to connect instead and waits for an interrupt. Returns whether all steps succeeded. */
 async function runDemo (keepRunning: boolean): Promise<boolean> {
   const steps = new StepRunner()
   let fleet: Fleet | undefined
--- a/packages/load/src/demo/callers.ts
+++ b/packages/load/src/demo/callers.ts
@@ -3,7 +3,7 @@
 import { createConnection, type Connection, type RowDataPacket } from 'mysql2/promise'
 import type { Fleet, FleetVm } from '../fleet/start-fleet.ts'
 
-/** A workspace's key, as a caller holds it. */
+/** Id and secret text of a workspace's key, as a client uses it to log in. */
 export interface WorkspaceKey {
   id: string
   key: string
@@ -21,7 +21,11 @@
   maxConnectionsPerVm?: number
 }
 
-/** Writes a contract and a ring with one new key. */
+/**
+ * Writes the contract of a new workspace and a key ring with one new key to the object service.
+ *
+ * @returns the new key
+ */
 export async function createWorkspace ({ objectClient }: Fleet, { workspace, databases, rate, statementTimeoutMs, maxConnectionsPerVm }: WorkspaceOptions): Promise<WorkspaceKey> {
   const workspaceKey: WorkspaceKey = { id: 'key-1', key: randomBytes(KEY_BYTES).toString('base64url') }
   const access = Object.fromEntries(databases.map(d => [d, {}]))
@@ -30,12 +34,13 @@
   return workspaceKey
 }
 
+/** Creates the key ring that stores the digests of `keys`. */
 export function createKeyRing (workspace: string, keys: WorkspaceKey[]): KeyRing {
   const grantedAt = new Date().toISOString()
   return { workspace, keys: keys.map(k => ({ id: k.id, digest: computeKeyDigest(k.key), grantedAt, note: '' })) }
 }
 
-/** Connects as a caller to one VM. */
+/** Connects a client to one VM. The connection's error events are ignored, as its statements report the loss of the connection. */
 export async function openCaller (fleet: Fleet, vm: FleetVm, workspace: string, key: string, database: string): Promise<Connection> {
   const connection = await createConnection({ host: fleet.host, port: vm.callersPort, user: workspace, password: key, database })
   connection.on('error', () => {})
@@ -43,9 +48,9 @@
 }
 
 /**
- * Runs a statement, and again each time it is refused as not run, after the time that the refusal names.
+ * Runs a statement, and retries it after the refusal's retry-after time while it is refused as not run.
  *
- * @throws the first other error, or the last refusal after many
+ * @throws the first error that is not such a refusal, or the last refusal after `MAX_RETRIES` retries
  */
 export async function runWithRetries (connection: Connection, text: string): Promise<unknown> {
   for (let i = 0; ; i++) {
@@ -60,7 +65,7 @@
   }
 }
 
-/** First column of the first row, as text. */
+/** Runs a query and returns the first column of the first row as text, or `undefined` without rows. */
 export async function readValue (connection: Connection, text: string): Promise<string | undefined> {
   const rows = await runWithRetries(connection, text) as RowDataPacket[]
   const first = rows[0]
--- a/packages/load/src/demo/step.ts
+++ b/packages/load/src/demo/step.ts
@@ -1,14 +1,14 @@
 import { describeError } from '@camphorpitch/wire'
 import { FleetError } from '../fleet/errors.ts'
 
-/** Milliseconds of one step and whether it held. */
+/** Title and duration of one step, and the detail or error printed for it. */
 export interface StepResult {
   title: string
   elapsedMs: number
   detail: string
 }
 
-/** Runs named steps and prints each with the time it took. */
+/** Runs named steps and prints each with its duration and outcome. */
 export class StepRunner {
   readonly #results: StepResult[] = []
   #failed = false
@@ -17,7 +17,7 @@
     return this.#failed
   }
 
-  /** Runs one step; a thrown error marks the run as failed and is printed. `run` returns what is worth showing. */
+  /** Runs and prints one step. `run` returns the detail to print; an error that it throws is printed and marks the whole run as failed. */
   async runStep (title: string, run: () => Promise<string>): Promise<void> {
     const startedAtMs = performance.now()
     try {
@@ -35,12 +35,17 @@
   }
 }
 
-/** @throws FleetError when the condition does not hold */
+/** @throws FleetError with `message` when the condition is false */
 export function checkCondition (condition: boolean, message: string): void {
   if (!condition) throw new FleetError(message)
 }
 
-/** Waits until `probe` gives something other than `undefined`; @throws FleetError after `timeoutMs` */
+/**
+ * Calls `probe` repeatedly until it returns a value other than `undefined`, and returns that value.
+ *
+ * @param description what is waited for, for the error message
+ * @throws FleetError after `timeoutMs`
+ */
 export async function waitForValue<T> (description: string, timeoutMs: number, probe: () => Promise<T | undefined>): Promise<T> {
   const deadlineMs = performance.now() + timeoutMs
   while (performance.now() < deadlineMs) {
@@ -48,7 +53,7 @@
     if (value !== undefined) return value
     await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS))
   }
-  throw new FleetError(`${description}: not within ${timeoutMs} ms`)
+  throw new FleetError(`waiting for ${description} timed out after ${timeoutMs} ms`)
 }
 
 const POLL_INTERVAL_MS = 20
--- a/packages/load/src/demo/steps.ts
+++ b/packages/load/src/demo/steps.ts
@@ -16,12 +16,13 @@
   database: string
   workspaceKey: WorkspaceKey
   steps: StepRunner
-  /** Ids of the rows whose write was acknowledged. */
+  /** Ids of all rows whose write was acknowledged in this run. */
   acknowledged: number[]
 }
 
 interface MysqlError { errno?: number, message: string }
 
+/** MySQL error number of a failed action, -1 for an error without one, `undefined` when the action succeeds. */
 async function readErrno (action: Promise<unknown>): Promise<number | undefined> {
   try {
     await action
@@ -39,6 +40,7 @@
   return await openCaller(context.fleet, pickVm(context, index), context.workspace, context.workspaceKey.key, context.database)
 }
 
+/** Counts how often an endpoint has executed exactly this statement. */
 async function countReads (endpoint: FleetEndpoint, text: string): Promise<number> {
   const response = await fetch(`${endpoint.controlUrl}/record`)
   const record = await response.json() as { statements: Array<{ text: string }> }
@@ -54,10 +56,10 @@
   context.acknowledged.push(id)
 }
 
-/** Waits until the fleet takes writes. */
+/** Waits until the fleet accepts a login and a write, then writes the first row. */
 export async function runFirstWrite (context: DemoContext): Promise<string> {
-  const client = await waitForValue('a login', READY_TIMEOUT_MS, async () => await openClientAt(context, 0).catch(() => undefined))
-  await waitForValue('a write', READY_TIMEOUT_MS, async () => await client.query('CREATE TABLE IF NOT EXISTS orders (id INTEGER PRIMARY KEY, shade TEXT)').catch(() => undefined))
+  const client = await waitForValue('a successful login', READY_TIMEOUT_MS, async () => await openClientAt(context, 0).catch(() => undefined))
+  await waitForValue('the first write', READY_TIMEOUT_MS, async () => await client.query('CREATE TABLE IF NOT EXISTS orders (id INTEGER PRIMARY KEY, shade TEXT)').catch(() => undefined))
   await writeRow(context, client, 1, 'coral')
   await client.end()
   return `through ${pickVm(context, 0).vm}`
@@ -68,7 +70,11 @@
   return context.fleet.endpoints.filter(e => e !== primary)
 }
 
-/** Reads the session's own write; the primary may serve the first reads, while replicas catch up. */
+/**
+ * Creates a probe that reads the session's own write and returns the number of reads once a replica has
+ * served one. The primary may serve the first reads while the replicas catch up. Each read has a different
+ * `LIMIT`, which identifies it in the endpoints' records.
+ */
 function createReplicaReadProbe (reader: Connection, replicas: FleetEndpoint[]): () => Promise<number | undefined> {
   let attempt = 0
   return async () => {
@@ -81,7 +87,7 @@
   }
 }
 
-/** Writes through one VM and reads through another, at a replica. */
+/** Writes through one VM and reads the write through another VM from a replica, by passing on the session token. */
 export async function runReadThroughAnotherVm (context: DemoContext): Promise<string> {
   const writer = await openClientAt(context, 0)
   await writeRow(context, writer, 2, 'plum')
@@ -94,12 +100,14 @@
   return `through ${pickVm(context, 1).vm}, served by a replica at read ${attempts}`
 }
 
+/** Tries to log in with a wrong key and checks that access is denied (MySQL error 1045). */
 export async function runWrongKeyLogin (context: DemoContext): Promise<string> {
   const errno = await readErrno(openCaller(context.fleet, pickVm(context, 0), context.workspace, 'not-the-key', context.database))
-  checkCondition(errno === 1045, `error ${errno} instead of 1045`)
+  checkCondition(errno === 1045, `login with a wrong key ended with error ${errno} instead of 1045`)
   return 'error 1045'
 }
 
+/** Checks that a row written in a transaction is invisible to another session until the commit. */
 export async function runTransaction (context: DemoContext): Promise<string> {
   const [writer, reader] = await Promise.all([openClientAt(context, 1), openClientAt(context, 2)])
   await runWithRetries(writer, 'BEGIN')
@@ -113,7 +121,7 @@
   return 'invisible before the commit, visible to a new session after it'
 }
 
-/** Kills the primary and writes until a write is acknowledged; then looks for every acknowledged row. */
+/** Kills the primary and retries a write until one is acknowledged, then checks that no acknowledged row is missing. */
 export async function runFailover (context: DemoContext): Promise<string> {
   const client = await openClientAt(context, 2)
   const primary = await waitForPrimary(context)
@@ -129,29 +137,29 @@
   context.acknowledged.push(id)
   const { acknowledged } = context
   const foundCount = await readValue(client, `SELECT count(*) FROM orders WHERE id IN (${acknowledged.join(', ')})`)
-  checkCondition(foundCount === String(acknowledged.length), `${foundCount} of ${acknowledged.length} acknowledged rows are there`)
+  checkCondition(foundCount === String(acknowledged.length), `only ${foundCount} of ${acknowledged.length} acknowledged rows were found`)
   await client.end()
   return `killed ${primary.endpoint}; next write acknowledged after ${gapMs.toFixed(0)} ms, no acknowledged row missing`
 }
 
-/** Withdraws the key of a connected caller. */
+/** Withdraws the key of a connected client and checks that its next statements are refused. */
 export async function runKeyWithdrawal (context: DemoContext): Promise<string> {
   const client = await openClientAt(context, 1)
   await readValue(client, 'SELECT 1')
   const ring = await context.fleet.objectClient.readObject('key-ring', context.workspace)
   await context.fleet.objectClient.writeObject('key-ring', context.workspace, ring.version, createKeyRing(context.workspace, []))
-  const errno = await waitForValue('a refusal', WITHDRAWAL_TIMEOUT_MS, async () => {
+  const errno = await waitForValue('a refusal after the key withdrawal', WITHDRAWAL_TIMEOUT_MS, async () => {
     await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS))
     return await readErrno(client.query('SELECT 1'))
   })
   client.destroy()
-  checkCondition(errno === RefusalCode.notRunDenied, `error ${errno} instead of ${RefusalCode.notRunDenied}`)
-  return `the connected caller is refused with ${errno}`
+  checkCondition(errno === RefusalCode.notRunDenied, `statement with a withdrawn key ended with error ${errno} instead of ${RefusalCode.notRunDenied}`)
+  return `the connected client is refused with error ${errno}`
 }
 
-/** Stops every proxy by SIGTERM. */
+/** Stops every proxy with SIGTERM and checks that each exits with code 0. */
 export async function runPlannedStop (context: DemoContext): Promise<string> {
   const exitCodes = await Promise.all(context.fleet.vms.map(async v => await v.process.stop()))
-  checkCondition(exitCodes.every(c => c === 0), `exit codes ${exitCodes.join(', ')}`)
+  checkCondition(exitCodes.every(c => c === 0), `the proxies exited with codes ${exitCodes.join(', ')} instead of 0`)
   return `${exitCodes.length} proxies drained and exited with 0`
 }
