--- a/packages/load/src/demo/step.ts
+++ b/packages/load/src/demo/step.ts
@@ -11,10 +11,10 @@
 /** Runs named steps and prints each with its duration and outcome. */
 export class StepRunner {
   readonly #results: StepResult[] = []
-  #failed = false
+  #hasFailed = false
 
   get hasFailed (): boolean {
-    return this.#failed
+    return this.#hasFailed
   }
 
   /** Runs and prints one step. `run` returns the detail to print; an error that it throws is printed and marks the whole run as failed. */
@@ -24,7 +24,7 @@
       const detail = await run()
       this.#reportStep(title, performance.now() - startedAtMs, 'ok', detail)
     } catch (error) {
-      this.#failed = true
+      this.#hasFailed = true
       this.#reportStep(title, performance.now() - startedAtMs, 'FAILED', describeError(error))
     }
   }
