--- a/packages/load/src/benchmarks/failover.ts
+++ b/packages/load/src/benchmarks/failover.ts
@@ -8,9 +8,9 @@
 /**
  * Measures a change of primary on stand-in instances, split into its stages, the latency added to a
  * write by waiting until a second instance holds it, and the cost of probes and failover decisions.
- * Prints tables and JSON.
+ * Prints tables and JSON. The heap per group needs `--expose-gc`.
  *
- * @example npm run build && node --import=tsx packages/load/src/benchmarks/failover.ts
+ * @example npm run build && node --expose-gc --import=tsx packages/load/src/benchmarks/failover.ts
  */
 
 const WRITE_GAP_RUNS = 8
--- a/packages/load/src/benchmarks/limits.ts
+++ b/packages/load/src/benchmarks/limits.ts
@@ -20,7 +20,7 @@
 const WARM_UP_MS = 5_000
 const IDLE_DURATION_MS = 10_000
 const SEED = 11
-/** Load of each workspace as a fraction of its rate. */
+/** Load of every workspace but the abusive one, as a fraction of its rate. */
 const LOAD_FRACTION = 0.8
 /** Load of the abusive workspace as a multiple of its rate. */
 const ABUSER_LOAD_FACTOR = 10
--- a/packages/load/src/benchmarks/serving.ts
+++ b/packages/load/src/benchmarks/serving.ts
@@ -32,6 +32,7 @@
   override listRanking (): readonly string[] { return [] }
   override isServing (): boolean { return true }
   override listServedDatabases (): readonly string[] { return [] }
+  /** Leaves two connections for the control connections of the group view. */
   override computeConnectionShare (_database: string, maxConnections: number): number { return maxConnections - 2 }
   override subscribe (): void {}
 }
@@ -87,7 +88,11 @@
   }
 }
 
-/** @throws Error when the statement is refused or fails; the message holds the last frame as JSON */
+/**
+ * Runs one statement through the service and returns its response frames.
+ *
+ * @throws Error when the statement is refused or fails; the message is the last frame as JSON
+ */
 async function runStatement (service: DatabaseService, request: StatementRequest): Promise<AnswerFrame[]> {
   const frames: AnswerFrame[] = []
   for await (const f of service.run(request)) frames.push(f)
