--- a/packages/load/src/bench/measure-path.ts
+++ b/packages/load/src/bench/measure-path.ts
@@ -1,9 +1,10 @@
 import { build } from 'hdr-histogram-js'
 import { createPool, type PoolOptions } from 'mysql2/promise'
 
-const MAX_MICROS = 60_000_000
+/** Longest latency that the histogram can record; longer ones count as this long. */
+const MAX_LATENCY_MICROSECONDS = 60_000_000
 
-/** What one path to the database delivered. */
+/** Number, throughput and latencies of the statements that one path to the database executed. */
 export interface PathResult {
   statements: number
   statementsPerSecond: number
@@ -13,29 +14,34 @@
 
 export interface PathOptions {
   connection: PoolOptions
+  /** Connections that execute statements at the same time. */
   clients: number
   durationMs: number
-  /** Text of the n-th statement. */
+  /** Returns the text of the n-th statement, counted from 0 over all clients. */
   formatStatement: (n: number) => string
 }
 
-/** Runs statements one after the other on each client for a time. */
+/**
+ * Runs statements one after the other on each client for `durationMs` and measures them.
+ *
+ * @throws Error when a connection cannot be opened or a statement fails
+ */
 export async function measurePath ({ connection, clients, durationMs, formatStatement }: PathOptions): Promise<PathResult> {
   const pool = createPool({ ...connection, connectionLimit: clients })
-  const histogram = build({ highestTrackableValue: MAX_MICROS, numberOfSignificantValueDigits: 3 })
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROSECONDS, numberOfSignificantValueDigits: 3 })
   let statements = 0
-  const startedAt = performance.now()
+  const startedAtMs = performance.now()
   const runClient = async () => {
     const client = await pool.getConnection()
-    while (performance.now() - startedAt < durationMs) {
-      const sentAt = performance.now()
+    while (performance.now() - startedAtMs < durationMs) {
+      const sentAtMs = performance.now()
       await client.query(formatStatement(statements++))
-      histogram.recordValue(Math.min(MAX_MICROS, Math.round((performance.now() - sentAt) * 1_000)))
+      histogram.recordValue(Math.min(MAX_LATENCY_MICROSECONDS, Math.round((performance.now() - sentAtMs) * 1_000)))
     }
     client.release()
   }
   await Promise.all(Array.from({ length: clients }, runClient))
-  const elapsedMs = performance.now() - startedAt
+  const elapsedMs = performance.now() - startedAtMs
   await pool.end()
   return {
     statements,
@@ -45,7 +51,7 @@
   }
 }
 
-/** Processor seconds that a proxy has used, from its metrics. */
+/** CPU seconds that a proxy has used since its start, from its metrics; `NaN` when they don't contain the value. */
 export async function readCpuSeconds (host: string, metricsPort: number): Promise<number> {
   const response = await fetch(`http://${host}:${metricsPort}/metrics`)
   const match = /^process_cpu_seconds_total ([\d.e+-]+)/m.exec(await response.text())
