--- a/packages/load/src/benchmarks/configuration.ts
+++ b/packages/load/src/benchmarks/configuration.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
 import { pack } from 'msgpackr'
-import { computeAgeMs } from '../../../proxy/src/configuration/currency.ts'
+import { computeAgeMs } from '../../../proxy/src/configuration/staleness.ts'
 import { decideConfiguration } from '../../../proxy/src/configuration/decision.ts'
 import { FakeFleet, type DecideConfiguration, type FakeVm } from '../../../proxy/src/configuration/fake-fleet.ts'
 import { applyValue, createObjectValues } from '../../../proxy/src/configuration/object-values.ts'
@@ -67,7 +67,7 @@
     usage.cpuMs += performance.now() - startedAtMs
     usage.messages += 1
   }
-  const fleet: FakeFleet = new FakeFleet({ vms, failureDomains: FAILURE_DOMAINS, seed: vms, decide, handleSend, onPublish: vm => inForceAtMs.set(vm.name, fleet.nowMs) })
+  const fleet: FakeFleet = new FakeFleet({ vms, failureDomains: FAILURE_DOMAINS, seed: vms, decide, onSend: handleSend, onPublish: vm => inForceAtMs.set(vm.name, fleet.nowMs) })
   return { fleet, usage, inForceAtMs }
 }
 
--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -1,7 +1,7 @@
 import type { StoredObject } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { isCurrent } from './currency.ts'
+import { isCurrent } from './staleness.ts'
 import { FakeFleet, type DecideConfiguration, type FakeVm } from './fake-fleet.ts'
 import { applyDelta, createObjectSet, formatKey, recordFullListing } from './object-set.ts'
 import { UNRESPONSIVE_PEER_SKIP_MS, STALENESS_LIMIT_MS } from './state.ts'
--- a/packages/proxy/src/configuration/decision.ts
+++ b/packages/proxy/src/configuration/decision.ts
@@ -1,5 +1,5 @@
 import type { Decide, Step } from '@camphorpitch/wire'
-import { updateFleetSize } from './currency.ts'
+import { updateFleetSize } from './staleness.ts'
 import { decidePoll, decideStartFromPeers, handlePeerMessage } from './gossip.ts'
 import { decideServiceCall, handleListed, handleServiceFailed, handleWatched } from './service-calls.ts'
 import type { ConfigurationEffect, ConfigurationMessage, ConfigurationState } from './state.ts'
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -30,7 +30,7 @@
   /** Called for each object that a VM applies. */
   onPublish?: (vm: FakeVm, object: StoredObject, previous: StoredObject | undefined) => void
   /** Called for each message between VMs. */
-  handleSend?: (from: FakeVm, to: string, body: unknown) => void
+  onSend?: (from: FakeVm, to: string, body: unknown) => void
 }
 
 /** Runs the configuration decisions of a whole fleet in one process, on a virtual clock, with simulated link faults. */
@@ -154,7 +154,7 @@
   }
 
   #send (from: FakeVm, to: string, body: Extract<ConfigurationEffect, { type: 'send' }>['body']): void {
-    this.#options.handleSend?.(from, to, body)
+    this.#options.onSend?.(from, to, body)
     const copies = this.#random() < this.duplicateRate ? 2 : 1
     for (let i = 0; i < copies; i++) {
       if (this.#random() < this.lossRate || this.cutLinks.has(`${from.name}|${to}`)) continue
--- a/packages/proxy/src/configuration/gossip.ts
+++ b/packages/proxy/src/configuration/gossip.ts
@@ -1,5 +1,5 @@
 import type { StoredObject } from '@camphorpitch/wire'
-import { computeAgeMs } from './currency.ts'
+import { computeAgeMs } from './staleness.ts'
 import type { ConfigurationPeerMessage, ReplyMessage } from './messages.ts'
 import { applyDelta, deleteUnlistedObjects, estimateBytes, formatKey, mergeObjects, MAX_PAGE_BYTES, recordFullListing, selectPage, type Delta } from './object-set.ts'
 import {
--- a/packages/proxy/src/configuration/service-calls.ts
+++ b/packages/proxy/src/configuration/service-calls.ts
@@ -1,5 +1,5 @@
 import type { StoredObject } from '@camphorpitch/wire'
-import { computeAgeMs } from './currency.ts'
+import { computeAgeMs } from './staleness.ts'
 import { forwardListedChanges, forwardChanges } from './gossip.ts'
 import { applyDelta, deleteUnlistedObjects, formatKey, mergeObjects, recordFullListing } from './object-set.ts'
 import {
--- a/packages/proxy/src/configuration/start-configuration.ts
+++ b/packages/proxy/src/configuration/start-configuration.ts
@@ -2,7 +2,7 @@
 import type { ActorSystemRef } from 'nact'
 import type { MembershipView } from '../membership/membership-view.ts'
 import { Configuration } from './configuration.ts'
-import { computeAgeMs, isCurrent } from './currency.ts'
+import { computeAgeMs, isCurrent } from './staleness.ts'
 import { decideConfiguration } from './decision.ts'
 import { configurationPeerMessageSchema } from './messages.ts'
 import { configurationKinds } from './object-values.ts'
--- a/packages/proxy/src/limits/limits-fairness.test.ts
+++ b/packages/proxy/src/limits/limits-fairness.test.ts
@@ -35,7 +35,7 @@
 
 function computeWrongfulFraction (results: Iterable<LoadResult>): number {
   const list = [...results]
-  return list.reduce((n, r) => n + r.wrongful, 0) / list.reduce((n, r) => n + r.within, 0)
+  return list.reduce((n, r) => n + r.wrongfulRefusals, 0) / list.reduce((n, r) => n + r.withinRate, 0)
 }
 
 describe('limits without faults', () => {
@@ -47,8 +47,8 @@
     const results = runLoad(8, ABUSER_LOAD_FRACTION)
     const abuser = results.get('abuser')!
     results.delete('abuser')
-    for (const [workspace, r] of results) expect(r.wrongful / r.within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
-    expect(abuser.admitted / abuser.within).to.be.within(0.9, 1)
+    for (const [workspace, r] of results) expect(r.wrongfulRefusals / r.withinRate, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
+    expect(abuser.admitted / abuser.withinRate).to.be.within(0.9, 1)
   })
 
   it('decide every request within 100 ms', () => {
--- a/packages/proxy/src/limits/limits-liveness.test.ts
+++ b/packages/proxy/src/limits/limits-liveness.test.ts
@@ -36,7 +36,7 @@
 }
 
 function checkWrongfulRefusals (fleet: VirtualFleet, workspace: string, fromMs: number): void {
-  const { wrongful, within } = computeLoadResult(fleet.records, workspace, rates[workspace]!, fromMs)
+  const { wrongfulRefusals: wrongful, withinRate: within } = computeLoadResult(fleet.records, workspace, rates[workspace]!, fromMs)
   expect(within).to.be.above(0)
   expect(wrongful / within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
 }
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/virtual-load.ts
@@ -36,9 +36,9 @@
   requests: number
   admitted: number
   /** Requests that a single exact bucket would have admitted, which sees every arrival without delay. */
-  within: number
+  withinRate: number
   /** Requests refused although the exact bucket would have admitted them. */
-  wrongful: number
+  wrongfulRefusals: number
   /** Longest wait for a decision. */
   longestWaitMs: number
 }
@@ -48,14 +48,14 @@
   const workspaceRecords = records.filter(r => r.workspace === workspace && r.requestedAtMs >= startMs).sort((a, b) => a.requestedAtMs - b.requestedAtMs)
   const ratePerMs = rate.statementsPerSecond / 1000
   const bucket = createBucket(ratePerMs, rate.burst, startMs - rate.burst / ratePerMs)
-  const result = { requests: workspaceRecords.length, admitted: 0, within: 0, wrongful: 0, longestWaitMs: 0 }
+  const result = { requests: workspaceRecords.length, admitted: 0, withinRate: 0, wrongfulRefusals: 0, longestWaitMs: 0 }
   for (const { requestedAtMs, atMs, admission } of workspaceRecords) {
     const isWithin = countAvailableTokens(bucket, requestedAtMs) >= 1
     if (isWithin) {
       reserveTokens(bucket, 1)
       spendReservedTokens(bucket, 1, requestedAtMs)
-      result.within += 1
-      if (!admission.admitted) result.wrongful += 1
+      result.withinRate += 1
+      if (!admission.admitted) result.wrongfulRefusals += 1
     }
     if (admission.admitted) result.admitted += 1
     result.longestWaitMs = Math.max(result.longestWaitMs, atMs - requestedAtMs)
