--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -75,7 +75,7 @@
  */
 export function createFleetDemand (shares: DemandShares, vms: number, hasAllReports: boolean): FleetDemand {
   const readTotal = (workspace: string): number => readTotalDemand(shares, workspace)
-  const readShare = (workspace: string): number => computeQuotaShare({ own: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
+  const readShare = (workspace: string): number => computeQuotaShare({ local: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
   return { vms, hasAllReports, isCountedByFewVms: false, readShare, readTotal }
 }
 
--- a/packages/gateway/src/limits/permit-requests.test.ts
+++ b/packages/gateway/src/limits/permit-requests.test.ts
@@ -59,9 +59,9 @@
         this.messages++
         const other = this.vms.get(vm)
         if (message.type !== 'permit' || other === undefined || this.cut.has(vm) || this.cut.has(self.vm)) return permits.handleLinkLoss(vm)
-        const answer = other.quotas.decidePermit(message)
-        if (this.delayMs === 0) permits.handleResponse(vm, answer)
-        else this.#delayedResponses.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleResponse(vm, answer) })
+        const response = other.quotas.decidePermit(message)
+        if (this.delayMs === 0) permits.handleResponse(vm, response)
+        else this.#delayedResponses.push({ atMs: clock.nowMs + this.delayMs, deliver: () => permits.handleResponse(vm, response) })
       }
     })
     return { quotas, permits, members }
@@ -166,10 +166,10 @@
         seed,
         handleStep: (fleet, nowMs) => {
           if (nowMs % 2_000 !== 0) return
-          const [gone] = pickCountingVms([...fleet.vms.values()].map(v => v.members.self), 'w0')
+          const [leavingVm] = pickCountingVms([...fleet.vms.values()].map(v => v.members.self), 'w0')
           for (const { members } of fleet.vms.values()) {
-            if (nowMs % 4_000 === 0) addMember(members, { ...gone!, incarnation: nowMs })
-            else removeMember(members, gone!.vm)
+            if (nowMs % 4_000 === 0) addMember(members, { ...leavingVm!, incarnation: nowMs })
+            else removeMember(members, leavingVm!.vm)
           }
         }
       })
--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -105,7 +105,7 @@
   /** Reports an operation that is already admitted to a counting VM or, if that does not respond or does not count the limit, to the next one. */
   #admitOptimistically (workspace: string, state: WorkspaceState, nowMs: number): void {
     state.uncountedTimesMs.push(nowMs)
-    const requestNext = async (): Promise<void> => {
+    const reportToCountingVm = async (): Promise<void> => {
       for (const vm of this.#listTargets(workspace)) {
         const response = await this.#requestFrom(vm, { workspace, isRepeated: false, isAdmitted: true, waitMs: BACKGROUND_RESPONSE_TIMEOUT_MS })
         if (response === null || response.result === 'notCounted') continue
@@ -115,7 +115,7 @@
         return
       }
     }
-    requestNext().catch((error: unknown) => this.#options.logger.error('reporting an admitted operation failed', { workspace, error: String(error) }))
+    reportToCountingVm().catch((error: unknown) => this.#options.logger.error('reporting an admitted operation failed', { workspace, error: String(error) }))
   }
 
   /**
--- a/packages/gateway/src/limits/quota.test.ts
+++ b/packages/gateway/src/limits/quota.test.ts
@@ -55,9 +55,9 @@
       }
     }
     if (nowMs % ROUND_MS === 0) exchangeDemand(vms, load, nowMs)
-    load.parts(nowMs).forEach((part, i) => {
+    load.parts(nowMs).forEach((fraction, i) => {
       const vm = vms[i]!
-      if (random() >= load.readRatePerSecond(nowMs) * part * 0.005) return
+      if (random() >= load.readRatePerSecond(nowMs) * fraction * 0.005) return
       requested++
       recordDemand(vm.window, load.workspace.name, nowMs)
       if (admitOperation(vm.state, load.workspace.name, nowMs).isAdmitted) admitted.push(nowMs)
@@ -106,8 +106,8 @@
 
 describe('quota of a fleet', () => {
   it('has shares that add up to 1', () => {
-    const own = [5, 20, 0, 75]
-    const sum = own.reduce((total, o) => total + computeQuotaShare({ own: o, total: 100, vms: 4 }), 0)
+    const demands = [5, 20, 0, 75]
+    const sum = demands.reduce((total, o) => total + computeQuotaShare({ local: o, total: 100, vms: 4 }), 0)
     expect(sum).to.be.closeTo(1, 1e-9)
   })
 
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -84,13 +84,13 @@
 /**
  * Computes this VM's share of a workspace's limit, as a fraction. The shares of all VMs add up to 1 if they know the same demand.
  *
- * @param own operations requested from this VM
+ * @param local operations requested from this VM
  * @param total operations requested from all VMs
  * @param vms number of VMs
- * @example computeQuotaShare({ own: 30, total: 60, vms: 4 }) // 0.484...
+ * @example computeQuotaShare({ local: 30, total: 60, vms: 4 }) // 0.484...
  */
-export function computeQuotaShare ({ own, total, vms }: { own: number, total: number, vms: number }): number {
-  return (own + PRIOR_OPERATIONS) / (total + PRIOR_OPERATIONS * Math.max(1, vms))
+export function computeQuotaShare ({ local, total, vms }: { local: number, total: number, vms: number }): number {
+  return (local + PRIOR_OPERATIONS) / (total + PRIOR_OPERATIONS * Math.max(1, vms))
 }
 
 /** Updates the buckets to the current limits and demand, once per round. Workspaces without a limit get no bucket. */
@@ -118,7 +118,7 @@
   if (share === 0) state.buckets.delete(name)
   else if (bucket !== undefined) replaceRate(bucket, rate, localBurst, nowMs)
   else {
-    const level = Math.min(localBurst, computeInitialLevel(state, name, { localBurst, priorUseUnknown: RESTART_EXCESS_FRACTION * allowedExcess * share, wasBelowLimit: RESTART_BURST_FRACTION * burst * share }, fleet, nowMs))
+    const level = Math.min(localBurst, computeInitialLevel(state, name, { localBurst, ifPriorUseUnknown: RESTART_EXCESS_FRACTION * allowedExcess * share, ifBelowLimitBefore: RESTART_BURST_FRACTION * burst * share }, fleet, nowMs))
     state.buckets.set(name, createBucket(rate, localBurst, nowMs - level / rate))
   }
   updateOverdraft(state, name, { ratePerWindow, overdraftPerRound: Math.min(OVERDRAFT_LIMIT_FRACTION * (ratePerWindow + burst + slack), OVERDRAFT_EXCESS_FRACTION * allowedExcess) / fleet.vms }, fleet, nowMs)
@@ -131,11 +131,11 @@
 }
 
 /** Computes how many operations a new bucket holds, depending on how much of the limit may have been used before. */
-function computeInitialLevel (state: QuotaState, name: string, levels: { localBurst: number, priorUseUnknown: number, wasBelowLimit: number }, fleet: FleetDemand, nowMs: number): number {
+function computeInitialLevel (state: QuotaState, name: string, levels: { localBurst: number, ifPriorUseUnknown: number, ifBelowLimitBefore: number }, fleet: FleetDemand, nowMs: number): number {
   const isSettled = nowMs - state.startedAtMs >= state.tolerance.windowMs
-  if (fleet.isCountedByFewVms && isSettled) return state.pressed.has(name) ? levels.priorUseUnknown : levels.wasBelowLimit
-  if (isPriorUseUnknown(state, name, nowMs)) return levels.priorUseUnknown
-  return state.isFirstStart ? levels.localBurst : levels.wasBelowLimit
+  if (fleet.isCountedByFewVms && isSettled) return state.pressed.has(name) ? levels.ifPriorUseUnknown : levels.ifBelowLimitBefore
+  if (isPriorUseUnknown(state, name, nowMs)) return levels.ifPriorUseUnknown
+  return state.isFirstStart ? levels.localBurst : levels.ifBelowLimitBefore
 }
 
 /** Grants an overdraft while the demand on all VMs is below the limit, so that one VM may exceed its share a little. */
