--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -80,8 +80,8 @@
 }
 
 /**
- * Describes the demand on a large fleet, in which a few VMs count each limit. They have equal shares, since a VM whose request
- * is refused by one of them asks the next.
+ * Describes the demand on a large fleet, in which a few VMs count each limit. They have equal shares, since a VM whose permit
+ * request is refused by one of them sends it to the next.
  */
 export function createLargeFleetDemand (shares: DemandShares, isCounting: (workspace: string) => boolean): FleetDemand {
   return {
--- a/packages/gateway/src/limits/quota-counter.ts
+++ b/packages/gateway/src/limits/quota-counter.ts
@@ -82,12 +82,12 @@
     recordVmDemand(this.#demandShares, vm, new Map(demand), this.#options.clock.readNow())
   }
 
-  /** Removes the demand of a VM that has left, so that the others share its share. */
+  /** Removes the demand of a VM that has left the fleet, so that its shares of the limits go to the other VMs. */
   removeVm (vm: string): void {
     this.#demandShares.others.delete(vm)
   }
 
-  /** Recomputes this VM's shares from the current limits and the demand of the last window. */
+  /** Recomputes this VM's shares from the current limits and the demand of the last window. Called after each round of polls, and for a new configuration. */
   update (): void {
     const { clock, members, configuration, counting } = this.#options
     const nowMs = clock.readNow()
--- a/packages/gateway/src/limits/quota.ts
+++ b/packages/gateway/src/limits/quota.ts
@@ -7,19 +7,19 @@
 const SLACK_HEADROOM_FRACTION = 0.5
 /** Fraction of the tolerated overshoot that the VMs together add to their bursts. The overshoot must also cover shares that do not add up to 1 while demand moves. */
 const OVERSHOOT_HEADROOM_FRACTION = 0.1
-/** Fraction of this headroom that is used if only a few VMs count a limit: their shares are large, and the other VMs may admit some operations uncounted. */
+/** Fraction of the burst headroom that is used if only a few VMs count a limit: their shares are large, and the other VMs may admit some operations uncounted. */
 const FEW_VMS_HEADROOM_FRACTION = 0.6
 /** Fraction of the allowed excess that restarted VMs may use at once, as they do not know what was used before. */
 const RESTART_EXCESS_FRACTION = 0.1
 /** A workspace is near its limit if its demand reaches this fraction of its rate. */
 const NEAR_LIMIT_FRACTION = 0.8
-/** Fraction of the limit that all VMs together may admit beyond their shares in a round while the workspace is below its limit. */
+/** Fraction of the limit that all VMs together may admit beyond their shares in a round of polls while the workspace is below its limit. */
 const OVERDRAFT_LIMIT_FRACTION = 0.05
 /** Upper bound of the overdraft, as a fraction of the allowed excess: two rounds of overdraft, the headroom and the operations after a restart fill the excess. */
 const OVERDRAFT_EXCESS_FRACTION = 0.15
 /** Fraction of its burst that a workspace may use right after a restart if it was below its limit before. */
 const RESTART_BURST_FRACTION = 0.7
-/** Smallest fraction of a bucket that must be left for other VMs to admit operations without asking first. */
+/** Smallest fraction of a bucket that must be left so that other VMs may admit operations without requesting a permit first. */
 const MIN_RESERVE_FRACTION = 0.2
 /** Smallest rate of a bucket, in operations per millisecond. A workspace with rate and burst 0 admits nothing even so, as its bucket holds nothing. */
 const MIN_RATE_PER_MS = 1e-6
@@ -51,6 +51,7 @@
 /** Operations requested from a VM in the last window, by workspace, whether admitted or refused. */
 export type Demand = ReadonlyMap<string, number>
 
+/** State with which a VM enforces its shares of the workspaces' limits. */
 export interface QuotaState {
   tolerance: QuotaTolerance
   /** Whether the fleet starts for the first time: buckets may start full, as nothing has been used yet. */
@@ -59,7 +60,7 @@
   nearLimitBeforeStart: ReadonlySet<string> | null
   startedAtMs: number
   buckets: Map<string, TokenBucket>
-  /** Operations that may be admitted beyond this VM's share until the next round, by workspace. */
+  /** Operations that may be admitted beyond this VM's share until the next round of polls, by workspace. */
   overdraft: Map<string, number>
   /** Workspaces that are near their limit now, or above it. */
   pressed: Set<string>
@@ -93,7 +94,7 @@
   return (local + PRIOR_OPERATIONS) / (total + PRIOR_OPERATIONS * Math.max(1, vms))
 }
 
-/** Updates the buckets to the current limits and demand, once per round. Workspaces without a limit get no bucket. */
+/** Updates the buckets to the current limits and demand, after each round of polls between the VMs. Workspaces without a limit get no bucket. */
 export function updateQuotas (state: QuotaState, workspaces: readonly Workspace[], fleet: FleetDemand, nowMs: number): void {
   for (const workspace of workspaces) updateQuota(state, workspace, fleet, nowMs)
   const names = new Set(workspaces.map(w => w.name))
@@ -173,7 +174,7 @@
   spendReservedTokens(bucket, 1, nowMs)
 }
 
-/** Whether enough of a workspace's limit is left here that other VMs may admit operations without asking first. */
+/** Whether enough of a workspace's limit is left on this VM that other VMs may admit operations without requesting a permit first. */
 export function hasReserve (state: QuotaState, workspace: string, nowMs: number): boolean {
   const bucket = state.buckets.get(workspace)
   return bucket === undefined || countAvailableTokens(bucket, nowMs) >= MIN_RESERVE_FRACTION * bucket.burst
