--- a/packages/gateway/src/failover/failover-watch.ts
+++ b/packages/gateway/src/failover/failover-watch.ts
@@ -89,7 +89,7 @@
   #collectEvidence (group: ServiceGroup, nowMs: number): PromotionEvidence {
     const { members } = this.#options
     const { state, primaryPool, peers } = group
-    const views = [...peers.values()]
+    const peerReports = [...peers.values()]
     const health = primaryPool?.health
     const candidates = [...group.pools.values()].filter(p => p !== primaryPool && !p.entry.isDraining)
     const localPendingMs = group.unansweredWriteSinceMs === null ? 0 : nowMs - group.unansweredWriteSinceMs
@@ -99,9 +99,9 @@
       drainingMs: primaryPool?.measureDraining(nowMs) ?? 0,
       unresponsiveMs: health === undefined ? 0 : measureUnansweredMs(health, nowMs),
       connectionRefusedMs: health?.refusedSinceMs == null ? 0 : nowMs - health.refusedSinceMs,
-      sinceLastResponseMs: nowMs - Math.max(state.lastResponseAtMs, health?.lastResponseAtMs ?? -Infinity, ...views.map(v => v.lastResponseAtMs)),
-      pendingWriteMs: Math.max(localPendingMs, ...views.map(v => v.pendingWriteMs)),
-      sinceAcknowledgedMs: nowMs - Math.max(state.acknowledgedAtMs, ...views.map(v => v.acknowledgedAtMs)),
+      sinceLastResponseMs: nowMs - Math.max(state.lastResponseAtMs, health?.lastResponseAtMs ?? -Infinity, ...peerReports.map(v => v.lastResponseAtMs)),
+      pendingWriteMs: Math.max(localPendingMs, ...peerReports.map(v => v.pendingWriteMs)),
+      sinceAcknowledgedMs: nowMs - Math.max(state.acknowledgedAtMs, ...peerReports.map(v => v.acknowledgedAtMs)),
       withoutPrimaryMs: group.withoutPrimarySinceMs === null ? 0 : nowMs - group.withoutPrimarySinceMs,
       isIsolated: listResponsive(members, nowMs).length === 0 && listPossiblyRunning(members, nowMs).length > 0,
       rank: computeRank(members, group.service, nowMs),
--- a/packages/gateway/src/failover/run-promotion.ts
+++ b/packages/gateway/src/failover/run-promotion.ts
@@ -57,7 +57,7 @@
   oldPrimary: EndpointEntry | undefined
   replicas: EndpointEntry[]
   /** Time at which the status request was sent to which the new primary responded that it leads. */
-  leadershipSeenAtMs: number
+  leadershipVerifiedAtMs: number
 }
 
 /**
@@ -79,7 +79,7 @@
   }
   const entries = [...group.pools.values()].map(p => p.entry)
   const oldPrimary = entries.find(e => e.endpoint === group.state.primary?.endpoint)
-  const attempt: Attempt = { host, group, reason, claim, oldPrimary, replicas: entries.filter(e => e !== oldPrimary), leadershipSeenAtMs: -Infinity, term: (group.state.primary?.term ?? 0) + 1 }
+  const attempt: Attempt = { host, group, reason, claim, oldPrimary, replicas: entries.filter(e => e !== oldPrimary), leadershipVerifiedAtMs: -Infinity, term: (group.state.primary?.term ?? 0) + 1 }
   host.logger.warn('promotion started', { service: group.service, reason, oldPrimary: oldPrimary?.endpoint, term: attempt.term, fencingToken: claim.fencingToken })
   let promoted: string | null = null
   try {
@@ -142,12 +142,12 @@
   const [steppedDown] = await runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
   if (steppedDown === undefined || steppedDown.status.role !== 'replica') return []
   const { received } = steppedDown.status
-  const untilMs = host.clock.readNow() + CATCH_UP_TIMEOUT_MS
+  const deadlineMs = host.clock.readNow() + CATCH_UP_TIMEOUT_MS
   for (;;) {
     const statuses = await runOnAll(attempt, replicas, async c => await c.readStatus())
     const caughtUp = statuses.filter(({ status }) => comparePositions(status.received, received) >= 0).map(({ entry, status }) => describeFenced(entry, status, false))
     if (caughtUp.length > 0) return [...caughtUp, describeFenced(oldPrimary, steppedDown.status, true)]
-    if (host.clock.readNow() >= untilMs) return [describeFenced(oldPrimary, steppedDown.status, true)]
+    if (host.clock.readNow() >= deadlineMs) return [describeFenced(oldPrimary, steppedDown.status, true)]
     await waitFor(RETRY_DELAY_MS)
   }
 }
@@ -185,16 +185,16 @@
 async function waitForEffect (attempt: Attempt, endpoint: string): Promise<string | null> {
   const { host, group, replicas, oldPrimary } = attempt
   const entry = [...replicas, ...oldPrimary === undefined ? [] : [oldPrimary]].find(e => e.endpoint === endpoint)
-  const untilMs = host.clock.readNow() + PROMOTION_EFFECT_TIMEOUT_MS
+  const deadlineMs = host.clock.readNow() + PROMOTION_EFFECT_TIMEOUT_MS
   if (entry === undefined) return null
-  while (host.clock.readNow() < untilMs) {
+  while (host.clock.readNow() < deadlineMs) {
     await waitFor(STATUS_INTERVAL_MS)
     const sentAtMs = host.clock.readNow()
     const [known] = await runOnAll(attempt, [entry], async c => await c.readStatus())
     if (known?.status.role !== 'primary') continue
     host.logger.warn('promotion took effect', { service: group.service, endpoint, term: known.status.term })
     attempt.term = known.status.term
-    attempt.leadershipSeenAtMs = sentAtMs
+    attempt.leadershipVerifiedAtMs = sentAtMs
     return endpoint
   }
   return null
@@ -203,7 +203,7 @@
 /** Publishes the outcome, resumes the replicas, demotes the replaced primary and releases the claim. */
 async function finishAttempt (attempt: Attempt, promoted: string | null): Promise<void> {
   const { host, group, claim, replicas, oldPrimary, term } = attempt
-  host.publishOutcome(group, promoted, term, attempt.leadershipSeenAtMs)
+  host.publishOutcome(group, promoted, term, attempt.leadershipVerifiedAtMs)
   const others = replicas.filter(e => e.endpoint !== promoted)
   await runOnAll(attempt, others, async c => await c.resume())
   if (oldPrimary !== undefined && promoted !== null && promoted !== oldPrimary.endpoint) await runOnAll(attempt, [oldPrimary], async c => await c.demote(term))
--- a/packages/gateway/src/failover/verify-leadership.ts
+++ b/packages/gateway/src/failover/verify-leadership.ts
@@ -71,10 +71,10 @@
       return entry
     }
     const proofs = replicas.map(p => ({ entry: p.entry, proof: verify(p.entry) }))
-    const provenByOne = proofs.filter(v => Date.now() - v.entry.startedAtMs >= RECENT_START_MS).map(v => v.proof)
+    const sufficientProofs = proofs.filter(v => Date.now() - v.entry.startedAtMs >= RECENT_START_MS).map(v => v.proof)
     try {
       // All replicas together are a proof even if each has started recently: they did not all lose the information about a pause.
-      await Promise.any([...provenByOne, ...proofs.length > 1 ? [Promise.all(proofs.map(v => v.proof))] : []])
+      await Promise.any([...sufficientProofs, ...proofs.length > 1 ? [Promise.all(proofs.map(v => v.proof))] : []])
       recordLeadership(group.state, primary.endpoint, sentAtMs)
       this.#options.logger.info('leadership verified', { service: group.service, primary: primary.endpoint, term: group.state.primary?.term, replicaCount: replicas.length })
     } catch {
