--- a/packages/gateway/src/failover/control-connections.ts
+++ b/packages/gateway/src/failover/control-connections.ts
@@ -28,7 +28,8 @@
    * Runs a command on the endpoint.
    *
    * @returns `null` if the endpoint was too busy or refused the command
-   * @throws ConnectionLostError if the endpoint did not respond in time
+   * @throws ConnectionLostError if the endpoint could not be reached or did not respond in time
+   * @throws EndpointRefusedError if the endpoint responded that it does not accept the connection
    */
   async run (entry: EndpointEntry, command: ControlCommand): Promise<EndpointStatus | null> {
     const cached = this.#acquire(entry)
--- a/packages/gateway/src/failover/decide-promotion.ts
+++ b/packages/gateway/src/failover/decide-promotion.ts
@@ -28,7 +28,7 @@
   connectionRefusedMs: number
   /** Time since the primary last responded to any VM. */
   sinceLastResponseMs: number
-  /** For how long writes have been pending without a response at the VM where this has lasted longest. */
+  /** Longest time for which any VM's writes to the primary have been pending without a response. */
   pendingWriteMs: number
   /** Time since the primary last acknowledged a write of any VM. */
   sinceAcknowledgedMs: number
--- a/packages/gateway/src/failover/verify-leadership.ts
+++ b/packages/gateway/src/failover/verify-leadership.ts
@@ -17,7 +17,8 @@
 }
 
 /**
- * Finds and verifies the leader of a group by status requests, for when the responses to statements do not tell it.
+ * Finds the primary of a group and verifies its leadership by status requests. Used when the responses to statements are no
+ * sufficient proof.
  *
  * A replica that is not paused and follows the primary's term proves that the group was not fenced when the status request
  * was sent, since a promotion pauses every replica first.
@@ -33,7 +34,7 @@
 
   /** Verifies that the known primary leads. The result is recorded in the group's state. Resolves when done, or after `waitMs`. */
   async verifyLeadership (group: ServiceGroup, waitMs: number): Promise<void> {
-    await Promise.race([this.#runOnce(`prove ${group.service}`, async () => await this.#verifyWithReplicas(group)), waitFor(waitMs)])
+    await Promise.race([this.#runOnce(`verify ${group.service}`, async () => await this.#verifyWithReplicas(group)), waitFor(waitMs)])
   }
 
   /** Requests the role of all endpoints and records the primary. Resets the known primary if it is now a replica and no endpoint leads. */
@@ -73,7 +74,7 @@
     const proofs = replicas.map(p => ({ entry: p.entry, proof: verify(p.entry) }))
     const sufficientProofs = proofs.filter(v => Date.now() - v.entry.startedAtMs >= RECENT_START_MS).map(v => v.proof)
     try {
-      // All replicas together are a proof even if each has started recently: they did not all lose the information about a pause.
+      // All replicas together are a sufficient proof even if each has started recently: they did not all lose the information about a pause.
       await Promise.any([...sufficientProofs, ...proofs.length > 1 ? [Promise.all(proofs.map(v => v.proof))] : []])
       recordLeadership(group.state, primary.endpoint, sentAtMs)
       this.#options.logger.info('leadership verified', { service: group.service, primary: primary.endpoint, term: group.state.primary?.term, replicaCount: replicas.length })
--- a/packages/gateway/src/freshness/group-state.ts
+++ b/packages/gateway/src/freshness/group-state.ts
@@ -5,7 +5,7 @@
  * after it has fenced the old primary, unless every VM has confirmed that it revoked the leadership.
  */
 export const LEADER_LEASE_MS = 1_000
-/** Longest time that a promotion may take after it requested the revocation of leadership. */
+/** A revocation of leadership lapses after this time, the longest that a promotion may take after it requested the revocation. */
 export const MAX_REVOCATION_MS = 5_000
 /** A sample is dropped if it is nearer in time than this to one that is kept. */
 const SAMPLE_SPACING_MS = 25
