--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -160,12 +160,12 @@
 }
 
 function startWatches ({ adapters: { store }, logger, clock, configuration, directory, groups }: GatewayComponents): Array<{ stop: () => void }> {
-  const handleRegained = (): void => recordStoreRecovery(directory, clock.readNow())
+  const handleStoreRecovery = (): void => recordStoreRecovery(directory, clock.readNow())
   const endpointsWatch = watchKind({
     store,
     logger,
     kind: 'endpoints',
-    handleStoreRecovery: handleRegained,
+    handleStoreRecovery,
     pauseMs: ENDPOINTS_WATCH_PAUSE_MS,
     applyListing: listing => groups.applyChanges(applyListing(directory, listing, clock.readNow())),
     applyChanges: (changes, asOf) => groups.applyChanges(applyChanges(directory, changes, asOf, clock.readNow()))
--- a/packages/gateway/src/failover/decide-promotion.ts
+++ b/packages/gateway/src/failover/decide-promotion.ts
@@ -1,5 +1,5 @@
 import { comparePositions, type LogPosition } from '@camphorpitch/wire'
-import { UNRESPONSIVE_AFTER_MS } from '../pool/endpoint-health.ts'
+import { ENDPOINT_UNRESPONSIVE_AFTER_MS } from '../pool/endpoint-health.ts'
 
 /** An endpoint that has refused connections for this long counts as lost. */
 const REFUSED_TIMEOUT_MS = 200
@@ -60,8 +60,8 @@
 
 function isPrimaryLost ({ isRegistered, unresponsiveMs, connectionRefusedMs, sinceLastResponseMs }: PromotionEvidence, delayMs: number): boolean {
   if (connectionRefusedMs >= REFUSED_TIMEOUT_MS + delayMs) return sinceLastResponseMs >= REFUSED_TIMEOUT_MS
-  const isUnavailable = unresponsiveMs >= UNRESPONSIVE_AFTER_MS + delayMs || !isRegistered
-  return isUnavailable && sinceLastResponseMs >= UNRESPONSIVE_AFTER_MS + delayMs
+  const isUnavailable = unresponsiveMs >= ENDPOINT_UNRESPONSIVE_AFTER_MS + delayMs || !isRegistered
+  return isUnavailable && sinceLastResponseMs >= ENDPOINT_UNRESPONSIVE_AFTER_MS + delayMs
 }
 
 /** An endpoint that no longer receives log entries from the old primary, or the old primary itself after it stepped down. */
--- a/packages/gateway/src/fleet/fleet-message-handler.ts
+++ b/packages/gateway/src/fleet/fleet-message-handler.ts
@@ -38,7 +38,7 @@
   readonly #configurationFetch = createConfigurationFetch()
   #fleet: Fleet | undefined
   #failover: FailoverWatch | undefined
-  #permitRequests: PermitClient | undefined
+  #permits: PermitClient | undefined
   #lastAttemptNumber = 0
 
   constructor (options: FleetMessageHandlerOptions) {
@@ -47,10 +47,10 @@
   }
 
   /** Sets the slices that messages are passed to; they are created after this handler. */
-  connect (fleet: Fleet, failover: FailoverWatch, permitRequests: PermitClient): void {
+  connect (fleet: Fleet, failover: FailoverWatch, permits: PermitClient): void {
     this.#fleet = fleet
     this.#failover = failover
-    this.#permitRequests = permitRequests
+    this.#permits = permits
   }
 
   createHandlers (): Pick<FleetOptions, 'createReport' | 'createPoll' | 'applyReport' | 'handleMessage' | 'handleRound' | 'removeVm'> {
@@ -117,7 +117,7 @@
     else if (message.type === 'permit') this.#fleet?.send(vm, this.#options.quotas.decidePermit(message))
     else if (message.type === 'configurationWanted') this.#sendConfiguration(vm)
     else if (message.type === 'configurationOffered') this.#options.configuration.apply(message.configuration, `vm ${vm}`)
-    else if (message.type === 'permitted') this.#permitRequests?.handleResponse(vm, message)
+    else if (message.type === 'permitted') this.#permits?.handleResponse(vm, message)
     else if (message.type === 'revoke') {
       this.#handleRevoke(vm, message).catch((error: unknown) => this.#options.logger.error('leadership revocation failed', { error: String(error) }))
     }
--- a/packages/gateway/src/fleet/members.test.ts
+++ b/packages/gateway/src/fleet/members.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { addMember, computeRank, createMemberState, REMOVE_ENTRY_AFTER_MS, isResponsive, listResponsive, listPolled, listPossiblyRunning, recordLeft, recordPoll, recordReport, UNRESPONSIVE_AFTER_MS, type MemberState } from './members.ts'
+import { addMember, computeRank, createMemberState, REMOVE_ENTRY_AFTER_MS, isResponsive, listResponsive, listPolled, listPossiblyRunning, recordLeft, recordPoll, recordReport, VM_UNRESPONSIVE_AFTER_MS, type MemberState } from './members.ts'
 import type { VmEntry } from './message-schemas.ts'
 
 function createEntry (vm: string, incarnation = 1): VmEntry {
@@ -29,12 +29,12 @@
     recordReport(state, 'vm-1', 500)
     recordPoll(member, 1_000)
     recordPoll(member, 1_500)
-    expect(isResponsive(member, 1_000 + UNRESPONSIVE_AFTER_MS - 1)).to.equal(true)
-    expect(listResponsive(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.deep.equal([])
-    expect(listPossiblyRunning(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
+    expect(isResponsive(member, 1_000 + VM_UNRESPONSIVE_AFTER_MS - 1)).to.equal(true)
+    expect(listResponsive(state, 1_000 + VM_UNRESPONSIVE_AFTER_MS)).to.deep.equal([])
+    expect(listPossiblyRunning(state, 1_000 + VM_UNRESPONSIVE_AFTER_MS)).to.have.length(1)
     expect(listPossiblyRunning(state, 1_000 + REMOVE_ENTRY_AFTER_MS)).to.deep.equal([])
     recordReport(state, 'vm-1', 1_500)
-    expect(listResponsive(state, 1_000 + UNRESPONSIVE_AFTER_MS)).to.have.length(1)
+    expect(listResponsive(state, 1_000 + VM_UNRESPONSIVE_AFTER_MS)).to.have.length(1)
   })
 
   it('are all responsive in a large fleet in which each VM answers the polls that it receives in turn', () => {
--- a/packages/gateway/src/fleet/members.ts
+++ b/packages/gateway/src/fleet/members.ts
@@ -2,7 +2,7 @@
 import type { VmEntry } from './message-schemas.ts'
 
 /** A VM that has left a poll unanswered for this long counts as unresponsive: three rounds of polls. */
-export const UNRESPONSIVE_AFTER_MS = 1_500
+export const VM_UNRESPONSIVE_AFTER_MS = 1_500
 /** A VM that has left polls unanswered for this long has its entry removed. */
 export const REMOVE_ENTRY_AFTER_MS = 60_000
 /** A VM that has left polls unanswered for this long is presumed stopped. Only for uses that stay safe if it still runs. */
@@ -84,7 +84,7 @@
 
 /** Whether a VM has answered a poll, and has no poll that has been unanswered for too long. */
 export function isResponsive (member: Member, nowMs: number): boolean {
-  return member.lastAnsweredPollSentAtMs > -Infinity && measureUnansweredMs(member, nowMs) < UNRESPONSIVE_AFTER_MS
+  return member.lastAnsweredPollSentAtMs > -Infinity && measureUnansweredMs(member, nowMs) < VM_UNRESPONSIVE_AFTER_MS
 }
 
 /** Lists the responsive VMs, without the local one. */
--- a/packages/gateway/src/groups/group-table.ts
+++ b/packages/gateway/src/groups/group-table.ts
@@ -71,9 +71,9 @@
     const service = configuration.current?.services.find(s => s.name === group.service)
     const { self } = members
     const reachable = listResponsive(members, clock.readNow())
-    const isLocal = self.failureDomain === entry.failureDomain
-    const localVms = reachable.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isLocal ? 1 : 0)
+    const isInSameDomain = self.failureDomain === entry.failureDomain
+    const vmsInSameDomain = reachable.filter(m => m.entry.failureDomain === entry.failureDomain).length + (isInSameDomain ? 1 : 0)
     const isPrimary = group.state.primary?.endpoint === entry.endpoint
-    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: reachable.length + 1, localVms, isLocal, isPrimary })
+    return computeConnectionShare({ maxConnections: service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS, vms: reachable.length + 1, vmsInSameDomain, isInSameDomain, isPrimary })
   }
 }
--- a/packages/gateway/src/pool/connection-share.test.ts
+++ b/packages/gateway/src/pool/connection-share.test.ts
@@ -14,7 +14,7 @@
       for (const isPrimary of [true, false]) {
         let totalRetained = 0
         domains.forEach((count, i) => {
-          const share = computeConnectionShare({ maxConnections, vms, localVms: domains[0]!, isLocal: i === 0, isPrimary })
+          const share = computeConnectionShare({ maxConnections, vms, vmsInSameDomain: domains[0]!, isInSameDomain: i === 0, isPrimary })
           expect(share.maxOpenConnections).to.be.at.least(1)
           totalRetained += count * share.retainedConnections
         })
@@ -24,6 +24,6 @@
   }
 
   it('gives a single VM all connections but the reserved ones', () => {
-    expect(computeConnectionShare({ maxConnections: 21, vms: 1, localVms: 1, isLocal: true, isPrimary: true })).to.deep.equal({ retainedConnections: 19, maxOpenConnections: 19 })
+    expect(computeConnectionShare({ maxConnections: 21, vms: 1, vmsInSameDomain: 1, isInSameDomain: true, isPrimary: true })).to.deep.equal({ retainedConnections: 19, maxOpenConnections: 19 })
   })
 })
--- a/packages/gateway/src/pool/connection-share.ts
+++ b/packages/gateway/src/pool/connection-share.ts
@@ -3,7 +3,7 @@
 /** Connections of an endpoint that stay free for control connections and for VMs that have just started. */
 const RESERVED_CONNECTIONS = 2
 /** Fraction of a replica's connections for the VMs of its failure domain, because these VMs read from it. */
-const LOCAL_FRACTION = 0.7
+const SAME_DOMAIN_FRACTION = 0.7
 /** A VM with a smaller share retains no idle connections: its share is too small for those of several workspaces. */
 const MIN_RETAINED_CONNECTIONS = 4
 /** A VM may open up to this multiple of its share while other VMs do not use theirs. */
@@ -15,9 +15,9 @@
   /** Number of VMs in the fleet. */
   vms: number
   /** Number of VMs in the endpoint's failure domain. */
-  localVms: number
+  vmsInSameDomain: number
   /** Whether this VM is in the endpoint's failure domain. */
-  isLocal: boolean
+  isInSameDomain: boolean
   /** Whether the endpoint is the primary, whose connections all VMs share equally. */
   isPrimary: boolean
 }
@@ -28,17 +28,17 @@
  * The retained connections of all VMs together stay within the endpoint's limit. A VM exceeds its share only briefly;
  * the endpoint refuses connections above its limit.
  *
- * @example computeConnectionShare({ maxConnections: 21, vms: 8, localVms: 3, isLocal: true, isPrimary: false }) // { retainedConnections: 4, maxOpenConnections: 10 }
+ * @example computeConnectionShare({ maxConnections: 21, vms: 8, vmsInSameDomain: 3, isInSameDomain: true, isPrimary: false }) // { retainedConnections: 4, maxOpenConnections: 10 }
  */
 export function computeConnectionShare (options: ConnectionShareOptions): ConnectionLimits {
-  const { maxConnections, vms, localVms, isLocal, isPrimary } = options
+  const { maxConnections, vms, vmsInSameDomain, isInSameDomain, isPrimary } = options
   const sharedConnections = Math.max(1, maxConnections - RESERVED_CONNECTIONS)
-  const share = Math.max(1, Math.floor(computeShare(sharedConnections, { vms, localVms, isLocal, isPrimary })))
+  const share = Math.max(1, Math.floor(computeShare(sharedConnections, { vms, vmsInSameDomain, isInSameDomain, isPrimary })))
   const retained = share < MIN_RETAINED_CONNECTIONS ? 0 : share
   return { retainedConnections: retained, maxOpenConnections: Math.min(sharedConnections, Math.max(share + 2, Math.floor(share * MAX_OPEN_FACTOR))) }
 }
 
-function computeShare (sharedConnections: number, { vms, localVms, isLocal, isPrimary }: Omit<ConnectionShareOptions, 'maxConnections'>): number {
-  if (isPrimary || localVms === 0 || localVms >= vms) return sharedConnections / Math.max(1, vms)
-  return isLocal ? sharedConnections * LOCAL_FRACTION / localVms : sharedConnections * (1 - LOCAL_FRACTION) / (vms - localVms)
+function computeShare (sharedConnections: number, { vms, vmsInSameDomain, isInSameDomain, isPrimary }: Omit<ConnectionShareOptions, 'maxConnections'>): number {
+  if (isPrimary || vmsInSameDomain === 0 || vmsInSameDomain >= vms) return sharedConnections / Math.max(1, vms)
+  return isInSameDomain ? sharedConnections * SAME_DOMAIN_FRACTION / vmsInSameDomain : sharedConnections * (1 - SAME_DOMAIN_FRACTION) / (vms - vmsInSameDomain)
 }
--- a/packages/gateway/src/pool/endpoint-health.ts
+++ b/packages/gateway/src/pool/endpoint-health.ts
@@ -1,7 +1,7 @@
 /** Weight of the latest response time in the moving average. */
 const NEW_RESPONSE_WEIGHT = 0.15
 /** An endpoint is unresponsive once a statement or connection attempt has had no response for this long, in milliseconds. */
-export const UNRESPONSIVE_AFTER_MS = 700
+export const ENDPOINT_UNRESPONSIVE_AFTER_MS = 700
 /** Time for which other endpoints are preferred after a failure, in milliseconds. */
 const AVOID_AFTER_FAILURE_MS = 1_000
 
@@ -75,7 +75,7 @@
 }
 
 export function isUnresponsive (health: EndpointHealth, nowMs: number): boolean {
-  return measureUnansweredMs(health, nowMs) >= UNRESPONSIVE_AFTER_MS
+  return measureUnansweredMs(health, nowMs) >= ENDPOINT_UNRESPONSIVE_AFTER_MS
 }
 
 /** Whether requests should prefer other endpoints. */
--- a/packages/gateway/src/telemetry/gateway-status.test.ts
+++ b/packages/gateway/src/telemetry/gateway-status.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai'
 import { Registry } from 'prom-client'
 import type { EndpointEntry } from '../directory/endpoint-entry.ts'
-import { createHealth, recordRefused, recordSent, recordNoResponse, UNRESPONSIVE_AFTER_MS } from '../pool/endpoint-health.ts'
+import { createHealth, recordRefused, recordSent, recordNoResponse, ENDPOINT_UNRESPONSIVE_AFTER_MS } from '../pool/endpoint-health.ts'
 import { listDoubts } from './gateway-status.ts'
 import { startMetricsServer } from './metrics-server.ts'
 
@@ -14,7 +14,7 @@
     const health = createHealth()
     expect(listDoubts({ entry, health, laggingUntilMs: -Infinity }, 1_000)).to.deep.equal([])
     recordSent(health, 1_000)
-    expect(listDoubts({ entry: { ...entry, isDraining: true }, health, laggingUntilMs: 5_000 }, 1_000 + UNRESPONSIVE_AFTER_MS)).to.deep.equal(['draining', 'lagging', 'silent'])
+    expect(listDoubts({ entry: { ...entry, isDraining: true }, health, laggingUntilMs: 5_000 }, 1_000 + ENDPOINT_UNRESPONSIVE_AFTER_MS)).to.deep.equal(['draining', 'lagging', 'silent'])
     recordNoResponse(health, 2_000)
     expect(listDoubts({ entry, health, laggingUntilMs: 0 }, 2_100)).to.include('avoided')
     recordRefused(health, 2_000)
