--- a/packages/gateway/src/backend/endpoint-connector.ts
+++ b/packages/gateway/src/backend/endpoint-connector.ts
@@ -49,11 +49,11 @@
    *
    * @param id the statement's id, as the client sent it
    * @param text the statement, as the client sent it
-   * @param atLeast position that the endpoint's log must hold; an endpoint that lacks it responds with `lagging`. `null` requires none
+   * @param requiredPosition position that the endpoint's log must hold; an endpoint that lacks it responds with `lagging`. `null` requires none
    */
-  abstract run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointResponse>
-  /** Opens a transaction; `id` and `atLeast` are as for `run`. */
-  abstract begin (id: string, isReadOnly: boolean, atLeast: LogPosition | null): Promise<EndpointResponse>
+  abstract run (id: string, text: string, requiredPosition: LogPosition | null): Promise<EndpointResponse>
+  /** Opens a transaction; `id` and `requiredPosition` are as for `run`. */
+  abstract begin (id: string, isReadOnly: boolean, requiredPosition: LogPosition | null): Promise<EndpointResponse>
   abstract rollback (): Promise<EndpointResponse>
   /** Sets a session value. */
   abstract setValue (name: string, value: string): Promise<EndpointResponse>
--- a/packages/gateway/src/clients/client-listener.ts
+++ b/packages/gateway/src/clients/client-listener.ts
@@ -17,7 +17,7 @@
   abstract sendWelcome (): void
   /** Refuses the session and closes the connection. */
   abstract sendRefusal (error: ResponseError): void
-  abstract sendResponse (answer: ClientResponse): void
+  abstract sendResponse (response: ClientResponse): void
   abstract close (): void
 }
 
--- a/packages/gateway/src/pool/pooled-connection.ts
+++ b/packages/gateway/src/pool/pooled-connection.ts
@@ -56,8 +56,8 @@
     return responses
   }
 
-  async run (id: string, text: string, atLeast: LogPosition | null): Promise<EndpointResponse> {
-    return await this.connection.run(id, text, atLeast)
+  async run (id: string, text: string, requiredPosition: LogPosition | null): Promise<EndpointResponse> {
+    return await this.connection.run(id, text, requiredPosition)
   }
 
   #restorePrepared (required: RequiredSessionState, name: string, responses: Array<Promise<EndpointResponse>>): void {
--- a/packages/gateway/src/sessions/client-session.test.ts
+++ b/packages/gateway/src/sessions/client-session.test.ts
@@ -17,11 +17,11 @@
 }
 
 class RecordingTransport extends ClientTransport {
-  readonly answers: ClientResponse[] = []
+  readonly responses: ClientResponse[] = []
   isClosed = false
   override sendWelcome (): void {}
   override sendRefusal (): void { this.isClosed = true }
-  override sendResponse (answer: ClientResponse): void { this.answers.push(answer) }
+  override sendResponse (response: ClientResponse): void { this.responses.push(response) }
   override close (): void { this.isClosed = true }
 }
 
@@ -71,9 +71,9 @@
     await waitForEventLoopTurn()
     session.closeWhenIdle()
     expect(transport.isClosed).to.equal(false)
-    finish({ answer: { rows: [], signature: 'x', error: null, state: 'idle', position: null }, endpoint: 'e' })
+    finish({ response: { rows: [], signature: 'x', error: null, state: 'idle', position: null }, endpoint: 'e' })
     await waitForEventLoopTurn()
-    expect(transport.answers).to.have.length(1)
+    expect(transport.responses).to.have.length(1)
     expect(transport.isClosed).to.equal(true)
   })
 })
--- a/packages/gateway/src/sessions/client-session.ts
+++ b/packages/gateway/src/sessions/client-session.ts
@@ -198,7 +198,7 @@
     const transaction = await this.#ensureTransaction(operation)
     if ('refusal' in transaction) return this.#finishFailedTransaction(operation, transaction)
     const outcome = await transaction.run(operation, plan.isWrite)
-    if ('refusal' in outcome || outcome.answer.error !== null) return this.#finishFailedTransaction(operation, outcome)
+    if ('refusal' in outcome || outcome.response.error !== null) return this.#finishFailedTransaction(operation, outcome)
     this.#sendOutcome(operation, outcome, 'open', false)
   }
 
@@ -246,13 +246,13 @@
   #sendOutcome (operation: Operation, outcome: Outcome, state: ClientResponse['state'], isCommit: boolean): void {
     this.#host.recordOutcome(operation, outcome)
     if ('refusal' in outcome) return this.#sendResponse({ error: outcome.refusal, state })
-    const { rows, signature, error, position } = outcome.answer
+    const { rows, signature, error, position } = outcome.response
     if (isCommit && error === null && position !== null) this.#lastWritePosition = pickLaterPosition(this.#lastWritePosition, position)
     this.#sendResponse({ rows, signature, error, state, position })
   }
 
-  #sendResponse (answer: ClientResponse): void {
-    if (!this.#isClosed) this.#transport.sendResponse(answer)
+  #sendResponse (response: ClientResponse): void {
+    if (!this.#isClosed) this.#transport.sendResponse(response)
   }
 
   /** Closes the session. Statements that arrive later are not run, because their client would get no response. */
--- a/packages/gateway/src/sessions/gateway-session-host.ts
+++ b/packages/gateway/src/sessions/gateway-session-host.ts
@@ -91,7 +91,7 @@
   recordOutcome = (operation: Operation, outcome: Outcome): void => {
     const { metrics } = this.#options
     const { route: { service }, statement, workspace, requiredState, receivedAtMs } = operation
-    const error = 'refusal' in outcome ? outcome.refusal : outcome.answer.error
+    const error = 'refusal' in outcome ? outcome.refusal : outcome.response.error
     const elapsedMs = this.clock.readNow() - receivedAtMs
     metrics.statementSeconds.observe({ service, outcome: error === null ? 'answered' : 'error' }, elapsedMs / MS_PER_SECOND)
     if (error === null) return
@@ -124,7 +124,7 @@
       verifyLeadership: async (group, waitMs) => await leadershipVerifier.verifyLeadership(group, waitMs),
       refreshPrimary: group => { leadershipVerifier.findPrimary(group).catch((error: unknown) => logger.error('primary lookup failed', { error: String(error) })) },
       estimateRecoveryMs: group => failover.estimateRecoveryMs(group),
-      logResponse: (operation, pool, atLeast, answer) => {
+      logResponse: (operation, pool, requiredPosition, response) => {
         const { statement, workspace, route, requiredState } = operation
         const { entry, health } = pool
         logger.info('endpoint responded to statement', {
@@ -135,12 +135,12 @@
           route: route.name,
           endpoint: entry.endpoint,
           role: entry.role,
-          requiredPosition: atLeast,
-          position: answer.position,
+          requiredPosition,
+          position: response.position,
           inFlight: health.inFlight,
           averageResponseMs: Math.round(health.averageResponseMs ?? 0),
           elapsedMs: Math.round(clock.readNow() - operation.receivedAtMs),
-          outcome: answer.error?.code ?? 'answered'
+          outcome: response.error?.code ?? 'answered'
         })
       },
       logNoResponse: (operation, pool, reason) => logger.warn('endpoint did not respond to statement', { id: operation.statement.id, type: operation.statement.type, endpoint: pool.entry.endpoint, reason, unansweredMs: pool.health.unansweredSinceMs === null ? 0 : Math.round(clock.readNow() - pool.health.unansweredSinceMs) })
--- a/packages/gateway/src/statements/operation.ts
+++ b/packages/gateway/src/statements/operation.ts
@@ -19,7 +19,7 @@
 }
 
 /** How a statement ended: with an endpoint's response, or with a refusal when no response can be given. */
-export type Outcome = { answer: EndpointResponse, endpoint: string } | { refusal: ResponseError }
+export type Outcome = { response: EndpointResponse, endpoint: string } | { refusal: ResponseError }
 
 /** Fraction of an operation's objective (`Route.objectiveMs`) for which it may wait before it is sent to an endpoint. */
 const MAX_WAIT_FRACTION = 0.25
--- a/packages/gateway/src/statements/pinned-transaction.ts
+++ b/packages/gateway/src/statements/pinned-transaction.ts
@@ -57,11 +57,11 @@
     if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     if (isWrite) this.#hasWritten = true
     try {
-      const answer = await this.#runWithRetries(operation, false)
-      this.#context.logResponse(operation, this.pool, null, answer)
-      if (answer.error?.code === 'readOnly') this.#context.refreshPrimary(this.#group)
-      if (answer.error !== null || answer.state !== 'open') this.rollback()
-      return { answer, endpoint: this.pool.entry.endpoint }
+      const response = await this.#runWithRetries(operation, false)
+      this.#context.logResponse(operation, this.pool, null, response)
+      if (response.error?.code === 'readOnly') this.#context.refreshPrimary(this.#group)
+      if (response.error !== null || response.state !== 'open') this.rollback()
+      return { response, endpoint: this.pool.entry.endpoint }
     } catch (error) {
       const reason = describeError(error)
       this.#context.logNoResponse(operation, this.pool, reason)
@@ -73,11 +73,11 @@
   async commit (operation: Operation): Promise<Outcome> {
     if (!this.isOpen) return this.#abandon('the transaction\'s connection was lost')
     try {
-      const answer = await this.#runWithRetries(operation, this.#hasWritten)
-      this.#context.logResponse(operation, this.pool, null, answer)
-      if (answer.state === 'idle') this.#end(true)
+      const response = await this.#runWithRetries(operation, this.#hasWritten)
+      this.#context.logResponse(operation, this.pool, null, response)
+      if (response.state === 'idle') this.#end(true)
       else this.rollback()
-      return { answer, endpoint: this.pool.entry.endpoint }
+      return { response, endpoint: this.pool.entry.endpoint }
     } catch (error) {
       this.#end(false)
       const reason = describeError(error)
@@ -93,7 +93,7 @@
     const { connection } = this.#connection
     if (!connection.isOpen) return this.pool.release(this.#connection, false)
     this.#group.runStatement(this.pool, false, this.#context.rollbackTimeoutMs, async () => await connection.rollback()).then(
-      answer => this.pool.release(this.#connection, answer.state === 'idle'),
+      response => this.pool.release(this.#connection, response.state === 'idle'),
       () => this.pool.release(this.#connection, false) // Closing the connection rolls back as well.
     )
   }
@@ -105,9 +105,9 @@
     for (let attemptCount = 1; ; attemptCount++) {
       this.#connection.restoreSession(requiredState, preparedName)
       const timeLeftMs = computeTimeLeftMs(operation, clock.readNow())
-      const answer = await this.#group.runStatement(this.pool, isWrite, timeLeftMs, async () => await this.#connection.run(statement.id, statement.text, null))
-      const canRetry = answer.error?.code === 'busy' && answer.state === 'open' && attemptCount < MAX_BUSY_ATTEMPTS
-      if (!canRetry || computeTimeLeftMs(operation, clock.readNow()) < 2 * BUSY_BACKOFF_MS) return answer
+      const response = await this.#group.runStatement(this.pool, isWrite, timeLeftMs, async () => await this.#connection.run(statement.id, statement.text, null))
+      const canRetry = response.error?.code === 'busy' && response.state === 'open' && attemptCount < MAX_BUSY_ATTEMPTS
+      if (!canRetry || computeTimeLeftMs(operation, clock.readNow()) < 2 * BUSY_BACKOFF_MS) return response
       await new Promise(resolve => setTimeout(resolve, BUSY_BACKOFF_MS * attemptCount))
     }
   }
@@ -159,14 +159,14 @@
     acquired.pool.release(acquired.connection, true)
     return createRetryRefusal('lagging', 'the primary is not known to lead', RETRY_AFTER_MS)
   }
-  return await sendBegin(context, group, operation, { pool: acquired.pool, atLeast: null, isReadOnly }, acquired.connection)
+  return await sendBegin(context, group, operation, { pool: acquired.pool, requiredPosition: null, isReadOnly }, acquired.connection)
 }
 
-async function beginAtReadTarget (context: StatementContext, group: ServiceGroup, operation: Operation, { pool, atLeast }: ReadTarget): Promise<OpenedTransaction> {
+async function beginAtReadTarget (context: StatementContext, group: ServiceGroup, operation: Operation, { pool, requiredPosition }: ReadTarget): Promise<OpenedTransaction> {
   const { workspace, requiredState, route } = operation
   try {
     const connection = await pool.acquire({ workspace, session: requiredState.session, priority: route.priority, waitMs: computeWaitMs(operation, context.clock.readNow()) })
-    return await sendBegin(context, group, operation, { pool, atLeast, isReadOnly: true }, connection)
+    return await sendBegin(context, group, operation, { pool, requiredPosition, isReadOnly: true }, connection)
   } catch (error) {
     if (!(error instanceof PoolError)) throw error
     return createRetryRefusal('busy', error.message, RETRY_AFTER_MS)
@@ -174,15 +174,15 @@
 }
 
 async function sendBegin (context: StatementContext, group: ServiceGroup, operation: Operation, target: ReadTarget & { isReadOnly: boolean }, connection: PooledConnection): Promise<OpenedTransaction> {
-  const { pool, atLeast, isReadOnly } = target
+  const { pool, requiredPosition, isReadOnly } = target
   connection.restoreSession(operation.requiredState, null)
   try {
     const timeLeftMs = computeTimeLeftMs(operation, context.clock.readNow())
-    const answer = await group.runStatement(pool, false, timeLeftMs, async () => await connection.connection.begin(operation.statement.id, isReadOnly, atLeast))
-    if (answer.error === null && answer.state === 'open') return { transaction: new PinnedTransaction({ context, group, pool, connection }) }
-    pool.release(connection, answer.state === 'idle')
-    context.logResponse(operation, pool, atLeast, answer)
-    return createBeginRefusal(context, group, pool, answer)
+    const response = await group.runStatement(pool, false, timeLeftMs, async () => await connection.connection.begin(operation.statement.id, isReadOnly, requiredPosition))
+    if (response.error === null && response.state === 'open') return { transaction: new PinnedTransaction({ context, group, pool, connection }) }
+    pool.release(connection, response.state === 'idle')
+    context.logResponse(operation, pool, requiredPosition, response)
+    return createBeginRefusal(context, group, pool, response)
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
--- a/packages/gateway/src/statements/read-targets.test.ts
+++ b/packages/gateway/src/statements/read-targets.test.ts
@@ -65,7 +65,7 @@
     const clock = new VirtualClock()
     const group = createGroup(clock)
     const target = findReadTarget(group, { ...operation, sessionPosition: { term: 1, index: 12 } }, new Set(), location, clock)
-    expect(target).to.have.nested.property('atLeast.index', 12)
+    expect(target).to.have.nested.property('requiredPosition.index', 12)
   })
 
   it('sends reads of the primary consistency level to the primary only while its leadership is verified', () => {
--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -17,7 +17,7 @@
 export interface ReadTarget {
   pool: EndpointPool
   /** Position that the endpoint's log must hold to run the read; `null` when none is required. */
-  atLeast: LogPosition | null
+  requiredPosition: LogPosition | null
 }
 
 /**
@@ -32,13 +32,13 @@
 export function findReadTarget (group: ServiceGroup, operation: Operation, triedEndpoints: ReadonlySet<string>, location: VmLocation, clock: Clock): ReadTarget | 'unproven' | 'none' {
   const nowMs = clock.readNow()
   const maxStalenessMs = readMaxStalenessMs(operation)
-  const requiredPosition = findRequiredPosition(group.state, maxStalenessMs, nowMs)
-  if (requiredPosition === undefined) return findPrimaryTarget(group, maxStalenessMs, triedEndpoints, nowMs)
+  const freshPosition = findRequiredPosition(group.state, maxStalenessMs, nowMs)
+  if (freshPosition === undefined) return findPrimaryTarget(group, maxStalenessMs, triedEndpoints, nowMs)
   const { sessionPosition } = operation
-  const atLeast = pickLaterPosition(sessionPosition, requiredPosition)
+  const requiredPosition = pickLaterPosition(sessionPosition, freshPosition)
   const candidates = listUsablePools(group, nowMs).filter(p => !triedEndpoints.has(p.entry.endpoint)).map(p => createCandidate(group, p, operation.workspace, location, nowMs))
   const pool = group.pools.get(selectEndpoint(candidates)?.endpoint ?? '')
-  return pool === undefined ? 'none' : { pool, atLeast }
+  return pool === undefined ? 'none' : { pool, requiredPosition }
 }
 
 /** Lists the endpoints that are not draining, or if all are, those that have been draining for less than `MAX_DRAINING_USE_MS`. */
@@ -51,7 +51,7 @@
 function findPrimaryTarget (group: ServiceGroup, maxStalenessMs: number, triedEndpoints: ReadonlySet<string>, nowMs: number): ReadTarget | 'unproven' | 'none' {
   const pool = group.primaryPool
   if (pool === undefined || triedEndpoints.has(pool.entry.endpoint) || pool.measureDraining(nowMs) >= MAX_DRAINING_USE_MS) return 'none'
-  return isPrimaryFresh(group.state, maxStalenessMs, nowMs) ? { pool, atLeast: null } : 'unproven'
+  return isPrimaryFresh(group.state, maxStalenessMs, nowMs) ? { pool, requiredPosition: null } : 'unproven'
 }
 
 function createCandidate (group: ServiceGroup, pool: EndpointPool, workspace: string, location: VmLocation, nowMs: number): ReadCandidate {
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -34,7 +34,7 @@
 }
 
 /** Result of one attempt: a response, or `notRun` when no statement was sent, or `unanswered` when no response came. */
-type AttemptResult = { kind: 'answered', answer: EndpointResponse, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
+type AttemptResult = { kind: 'answered', response: EndpointResponse, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
 
 /**
  * Runs a read outside of a transaction.
@@ -62,15 +62,15 @@
     } else if (pendingAttempts.size === 0) return createFailureOutcome(operation, target, lastResult)
     const resultWaitMs = typeof target === 'string' ? computeTimeLeftMs(operation, clock.readNow()) : computeHedgeDelayMs(target)
     lastResult = await waitForResult(pendingAttempts, resultWaitMs) ?? lastResult
-    if (hasFinalAnswer(lastResult)) return { answer: lastResult.answer, endpoint: lastResult.endpoint }
+    if (hasFinalResponse(lastResult)) return { response: lastResult.response, endpoint: lastResult.endpoint }
     if (computeTimeLeftMs(operation, clock.readNow()) <= 1) return createFailureOutcome(operation, 'none', lastResult)
     const canAttemptAgain = pendingAttempts.size === 0 || spendRetry(retryBudget)
     target = canAttemptAgain ? selectNextTarget(context, group, operation, triedEndpoints, attemptCount) : 'none'
   }
 }
 
-function hasFinalAnswer (result: AttemptResult | undefined): result is Extract<AttemptResult, { kind: 'answered' }> {
-  return result?.kind === 'answered' && !isRetryable(result.answer.error?.code)
+function hasFinalResponse (result: AttemptResult | undefined): result is Extract<AttemptResult, { kind: 'answered' }> {
+  return result?.kind === 'answered' && !isRetryable(result.response.error?.code)
 }
 
 function isRetryable (code: ErrorCode | undefined): boolean {
@@ -90,7 +90,7 @@
   const pool = group.primaryPool
   // The primary's log holds every acknowledged write, even when it lacks a required position that it never acknowledged.
   const isPrimaryUsable = pool !== undefined && group.isWritable && isPrimaryFresh(group.state, readMaxStalenessMs(operation), context.clock.readNow())
-  return isPrimaryUsable ? { pool, atLeast: null } : 'none'
+  return isPrimaryUsable ? { pool, requiredPosition: null } : 'none'
 }
 
 async function findFirstTarget (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<ReadTarget | string> {
@@ -123,7 +123,7 @@
 }
 
 async function startAttempt (context: StatementContext, group: ServiceGroup, operation: Operation, target: ReadTarget, waitMs: number): Promise<AttemptResult> {
-  const { pool, atLeast } = target
+  const { pool, requiredPosition } = target
   const { clock } = context
   const { workspace, requiredState, route, statement, preparedName } = operation
   let connection: PooledConnection
@@ -135,13 +135,13 @@
   }
   const restoreResponses = connection.restoreSession(requiredState, preparedName)
   try {
-    const answer = await group.runStatement(pool, false, computeTimeLeftMs(operation, clock.readNow()), async () => await connection.run(statement.id, statement.text, atLeast))
+    const response = await group.runStatement(pool, false, computeTimeLeftMs(operation, clock.readNow()), async () => await connection.run(statement.id, statement.text, requiredPosition))
     await Promise.all(restoreResponses)
-    pool.release(connection, answer.state === 'idle')
-    if (answer.error?.code === 'lagging') pool.laggingUntilMs = clock.readNow() + LAGGING_AVOID_MS
-    if (answer.error?.code === 'busy') recordBusy(pool.health, BUSY_AVOID_MS, clock.readNow())
-    context.logResponse(operation, pool, atLeast, answer)
-    return { kind: 'answered', answer, endpoint: pool.entry.endpoint }
+    pool.release(connection, response.state === 'idle')
+    if (response.error?.code === 'lagging') pool.laggingUntilMs = clock.readNow() + LAGGING_AVOID_MS
+    if (response.error?.code === 'busy') recordBusy(pool.health, BUSY_AVOID_MS, clock.readNow())
+    context.logResponse(operation, pool, requiredPosition, response)
+    return { kind: 'answered', response, endpoint: pool.entry.endpoint }
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
@@ -151,7 +151,7 @@
 }
 
 function createFailureOutcome ({ route }: Operation, target: string, lastResult: AttemptResult | undefined): Outcome {
-  if (lastResult?.kind === 'answered') return { answer: lastResult.answer, endpoint: lastResult.endpoint }
+  if (lastResult?.kind === 'answered') return { response: lastResult.response, endpoint: lastResult.endpoint }
   if (lastResult?.kind === 'unanswered') return { refusal: { code: 'timeout', text: lastResult.reason } }
   if (lastResult?.kind === 'notRun') return createRetryRefusal('busy', lastResult.reason, RETRY_AFTER_MS)
   const reason = target === 'unproven' ? 'no endpoint is known to be fresh enough' : `no endpoint of ${route.service} is reachable`
--- a/packages/gateway/src/statements/run-write.ts
+++ b/packages/gateway/src/statements/run-write.ts
@@ -48,12 +48,12 @@
   const restoreResponses = connection.restoreSession(requiredState, preparedName)
   try {
     const timeLeftMs = computeTimeLeftMs(operation, context.clock.readNow())
-    const answer = await group.runStatement(pool, true, timeLeftMs, async () => await connection.run(statement.id, statement.text, null))
+    const response = await group.runStatement(pool, true, timeLeftMs, async () => await connection.run(statement.id, statement.text, null))
     await Promise.all(restoreResponses)
-    pool.release(connection, answer.state === 'idle')
-    context.logResponse(operation, pool, null, answer)
-    if (answer.error?.code === 'readOnly') context.refreshPrimary(group)
-    return { answer, endpoint: pool.entry.endpoint }
+    pool.release(connection, response.state === 'idle')
+    context.logResponse(operation, pool, null, response)
+    if (response.error?.code === 'readOnly') context.refreshPrimary(group)
+    return { response, endpoint: pool.entry.endpoint }
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -18,7 +18,7 @@
   /** Timeout of a rollback, in milliseconds. After it the connection is closed, which also rolls back. */
   rollbackTimeoutMs: number
   /** Logs an endpoint's response to a statement, also when it is an error. */
-  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointResponse) => void
+  logResponse: (operation: Operation, pool: EndpointPool, requiredPosition: LogPosition | null, response: EndpointResponse) => void
   /** Logs that an endpoint did not respond to a statement. */
   logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
