--- a/packages/gateway/src/statements/read-targets.ts
+++ b/packages/gateway/src/statements/read-targets.ts
@@ -16,17 +16,17 @@
 /** An endpoint for a read. */
 export interface ReadTarget {
   pool: EndpointPool
-  /** Position that the endpoint's log must hold to run the read; `null` when none is required. */
+  /** Position that the endpoint's log must hold to run the read: the later one of the session's last write and the position that the allowed staleness requires. `null` when none is required. */
   requiredPosition: LogPosition | null
 }
 
 /**
  * Finds the endpoint for a read among those that the read has not tried yet.
  *
- * Any endpoint whose log holds the required position can run the read. When no required position is known, only the
- * primary can, and only while its leadership is verified.
+ * Any endpoint whose log holds the required position can run the read. When no position is known that is fresh enough for
+ * the allowed staleness, only the primary can, and only while its leadership is verified.
  *
- * @returns `unproven` when no required position is known and the primary's leadership is not verified for the allowed
+ * @returns `unproven` when no such position is known and the primary's leadership is not verified for the allowed
  *   staleness; `none` when no endpoint is left
  */
 export function findReadTarget (group: ServiceGroup, operation: Operation, triedEndpoints: ReadonlySet<string>, location: VmLocation, clock: Clock): ReadTarget | 'unproven' | 'none' {
--- a/packages/gateway/src/statements/run-read.ts
+++ b/packages/gateway/src/statements/run-read.ts
@@ -33,8 +33,8 @@
   return budget
 }
 
-/** Result of one attempt: a response, or `notRun` when no statement was sent, or `unanswered` when no response came. */
-type AttemptResult = { kind: 'answered', response: EndpointResponse, endpoint: string } | { kind: 'notRun' | 'unanswered', reason: string, code: ErrorCode }
+/** Result of one attempt: a response, or `notRun` when no statement was sent, or `noResponse` when none arrived. */
+type AttemptResult = { kind: 'responded', response: EndpointResponse, endpoint: string } | { kind: 'notRun' | 'noResponse', reason: string, code: ErrorCode }
 
 /**
  * Runs a read outside of a transaction.
@@ -42,7 +42,7 @@
  * The read changes nothing, so it may run on several endpoints: after a failed attempt, and also while an endpoint
  * is slow to respond, as far as the group's retry budget allows.
  *
- * @returns the first final answer, else the last error or a refusal
+ * @returns the first response that is not to be retried, else the last response with an error or a refusal
  */
 export async function runRead (context: StatementContext, group: ServiceGroup, operation: Operation): Promise<Outcome> {
   const { clock } = context
@@ -69,8 +69,8 @@
   }
 }
 
-function hasFinalResponse (result: AttemptResult | undefined): result is Extract<AttemptResult, { kind: 'answered' }> {
-  return result?.kind === 'answered' && !isRetryable(result.response.error?.code)
+function hasFinalResponse (result: AttemptResult | undefined): result is Extract<AttemptResult, { kind: 'responded' }> {
+  return result?.kind === 'responded' && !isRetryable(result.response.error?.code)
 }
 
 function isRetryable (code: ErrorCode | undefined): boolean {
@@ -141,18 +141,18 @@
     if (response.error?.code === 'lagging') pool.laggingUntilMs = clock.readNow() + LAGGING_AVOID_MS
     if (response.error?.code === 'busy') recordBusy(pool.health, BUSY_AVOID_MS, clock.readNow())
     context.logResponse(operation, pool, requiredPosition, response)
-    return { kind: 'answered', response, endpoint: pool.entry.endpoint }
+    return { kind: 'responded', response, endpoint: pool.entry.endpoint }
   } catch (error) {
     pool.release(connection, false)
     const reason = describeError(error)
     context.logNoResponse(operation, pool, reason)
-    return { kind: 'unanswered', reason, code: 'timeout' }
+    return { kind: 'noResponse', reason, code: 'timeout' }
   }
 }
 
 function createFailureOutcome ({ route }: Operation, target: string, lastResult: AttemptResult | undefined): Outcome {
-  if (lastResult?.kind === 'answered') return { response: lastResult.response, endpoint: lastResult.endpoint }
-  if (lastResult?.kind === 'unanswered') return { refusal: { code: 'timeout', text: lastResult.reason } }
+  if (lastResult?.kind === 'responded') return { response: lastResult.response, endpoint: lastResult.endpoint }
+  if (lastResult?.kind === 'noResponse') return { refusal: { code: 'timeout', text: lastResult.reason } }
   if (lastResult?.kind === 'notRun') return createRetryRefusal('busy', lastResult.reason, RETRY_AFTER_MS)
   const reason = target === 'unproven' ? 'no endpoint is known to be fresh enough' : `no endpoint of ${route.service} is reachable`
   return createRetryRefusal(target === 'unproven' ? 'lagging' : 'busy', reason, RETRY_AFTER_MS)
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -9,7 +9,7 @@
 export interface StatementContext {
   clock: Clock
   location: VmLocation
-  /** Verifies with the group's endpoints that the primary still leads. Returns when they were asked, or after `waitMs`. */
+  /** Verifies with the group's endpoints that the primary still leads. Resolves when this is done, or after `waitMs`. */
   verifyLeadership: (group: ServiceGroup, waitMs: number) => Promise<void>
   /** Looks for the current primary, after the endpoint that this VM took for the primary reported that it does not lead. */
   refreshPrimary: (group: ServiceGroup) => void
