--- a/packages/gateway/src/configuration/configuration.ts
+++ b/packages/gateway/src/configuration/configuration.ts
@@ -33,6 +33,7 @@
   keys: z.array(z.string()),
   /** Limit of operations per second over all VMs; absent for no limit. */
   ratePerSecond: z.number().nonnegative().optional(),
+  /** Number of operations by which a window may exceed the rate; 0 if absent. */
   burst: z.number().nonnegative().optional()
 })
 export type Workspace = z.infer<typeof workspaceSchema>
--- a/packages/gateway/src/fleet/fleet.ts
+++ b/packages/gateway/src/fleet/fleet.ts
@@ -21,7 +21,7 @@
 const LEFT_MESSAGE_FLUSH_MS = 30
 /** Rounds of polls between two removals of unresponsive VMs. */
 const ROUNDS_PER_MEMBER_SWEEP = 20
-/** Number of latest polls whose sending time is kept; reports that answer an older poll are ignored. */
+/** Number of latest polls whose sending time is kept; reports in response to an older poll are ignored. */
 const MAX_TRACKED_POLLS = 64
 
 export type Poll = z.infer<typeof pollSchema>
--- a/packages/gateway/src/fleet/members.test.ts
+++ b/packages/gateway/src/fleet/members.test.ts
@@ -57,7 +57,7 @@
     expect(new Set(polled.flat()).size).to.equal(70)
   })
 
-  it('are removed once they announce their end, until they start again', () => {
+  it('are removed once they announce that they leave the fleet, until they start again', () => {
     const state = createMembers(2)
     recordLeft(state, 'vm-1', 1)
     expect(state.members.size).to.equal(0)
--- a/packages/gateway/src/fleet/members.ts
+++ b/packages/gateway/src/fleet/members.ts
@@ -26,7 +26,7 @@
 export interface MemberState {
   self: VmEntry
   members: Map<string, Member>
-  /** Incarnation of each VM that has announced its end; entries of that incarnation or earlier ones are ignored. */
+  /** Incarnation of each VM that has announced that it leaves the fleet; entries of that incarnation or earlier ones are ignored. */
   left: Map<string, number>
   /** Number of changes to `members` so far. */
   changes: number
@@ -56,7 +56,7 @@
   if (state.members.delete(vm)) state.changes++
 }
 
-/** Removes a VM that has announced its end, unless a later incarnation of it is known. */
+/** Removes a VM that has announced that it leaves the fleet, unless a later incarnation of it is known. */
 export function recordLeft (state: MemberState, vm: string, incarnation: number): void {
   const existing = state.members.get(vm)
   if (existing !== undefined && existing.entry.incarnation > incarnation) return
--- a/packages/gateway/src/fleet/message-schemas.ts
+++ b/packages/gateway/src/fleet/message-schemas.ts
@@ -65,7 +65,7 @@
   vmsKnown: z.number().int(),
 })
 
-/** Answers a poll. */
+/** Response to a poll. */
 export const reportSchema = z.object({
   type: z.literal('report'),
   sequence: z.number().int(),
@@ -80,7 +80,7 @@
 
 /** Requests a VM's configuration. */
 export const configurationWantedSchema = z.object({ type: z.literal('configurationWanted') })
-/** Answers `configurationWanted`. */
+/** Response to `configurationWanted`. */
 export const configurationOfferedSchema = z.object({ type: z.literal('configurationOffered'), configuration: configurationSchema })
 
 /** A promoting VM requests that the receiver revoke a primary's verified leadership, and send it no further writes. */
@@ -117,11 +117,11 @@
   workspace: z.string(),
   /** Whether the operation was sent to another VM before, which refused it. */
   isRepeated: z.boolean(),
-  /** Whether the operation has been admitted already, and needs only be counted. */
+  /** Whether the operation has already been admitted, so that the receiver only counts it. */
   isAdmitted: z.boolean()
 })
 export type Permit = z.infer<typeof permitSchema>
-/** Answers a `permit` request. */
+/** Response to a `permit` request. */
 export const permittedSchema = z.object({
   type: z.literal('permitted'),
   request: z.number().int(),
@@ -133,7 +133,7 @@
 })
 export type Permitted = z.infer<typeof permittedSchema>
 
-/** A VM announces that it ends, after it has served its last client. */
+/** A VM announces that it leaves the fleet, after it has served its last client. */
 export const leftSchema = z.object({ type: z.literal('left'), incarnation: z.number() })
 
 export const fleetMessageSchema = z.discriminatedUnion('type', [leftSchema, pollSchema, reportSchema, revokeSchema, revokedSchema, promotedSchema, permitSchema, permittedSchema, configurationWantedSchema, configurationOfferedSchema])
--- a/packages/gateway/src/pool/endpoint-health.ts
+++ b/packages/gateway/src/pool/endpoint-health.ts
@@ -5,7 +5,7 @@
 /** Time for which other endpoints are preferred after a failure, in milliseconds. */
 const AVOID_AFTER_FAILURE_MS = 1_000
 
-/** How one endpoint has responded to this VM. Times are readings of the caller's clock, in milliseconds. */
+/** How one endpoint has responded to this VM. Times are on this VM's clock, in milliseconds. */
 export interface EndpointHealth {
   /** Time of the last response; `-Infinity` before the first. */
   lastResponseAtMs: number
@@ -74,6 +74,7 @@
   return health.unansweredSinceMs === null ? 0 : nowMs - health.unansweredSinceMs
 }
 
+/** Whether a response has been pending without contact for too long. */
 export function isUnresponsive (health: EndpointHealth, nowMs: number): boolean {
   return measureUnansweredMs(health, nowMs) >= ENDPOINT_UNRESPONSIVE_AFTER_MS
 }
--- a/packages/gateway/src/pool/errors.ts
+++ b/packages/gateway/src/pool/errors.ts
@@ -7,5 +7,4 @@
 export type PoolRefusal = 'busy' | 'unreachable' | 'gone'
 
 /** A pool gave no connection; `refusal` is the reason. */
-
 export const PoolError = BaseError.subclass('PoolError', { props: { refusal: 'busy' as PoolRefusal } })
--- a/packages/gateway/src/runtime/wait-at-most.ts
+++ b/packages/gateway/src/runtime/wait-at-most.ts
@@ -2,7 +2,7 @@
  * Waits for a promise, for at most `waitMs`. After that it rejects with the error that `createError` returns. The
  * operation behind the promise is not cancelled.
  *
- * @example await waitAtMost(answer, 400, () => new ConnectionLostError('no answer within 400 ms'))
+ * @example await waitAtMost(response, 400, () => new ConnectionLostError('no response within 400 ms'))
  */
 export async function waitAtMost<T> (promise: Promise<T>, waitMs: number, createError: () => Error): Promise<T> {
   let timer: NodeJS.Timeout | undefined
