--- a/packages/gateway/src/limits/permit-requests.ts
+++ b/packages/gateway/src/limits/permit-requests.ts
@@ -156,10 +156,10 @@
     const permit = { type: 'permit' as const, request, workspace, isRepeated, isAdmitted }
     if (vm === quotas.vm) return quotas.decidePermit(permit)
     const response = await new Promise<Permitted | null>(resolve => {
-      const finish = (response: Permitted | null): void => {
+      const finish = (result: Permitted | null): void => {
         clearTimeout(timer)
         this.#pending.delete(request)
-        resolve(response)
+        resolve(result)
       }
       const timer = setTimeout(() => finish(null), waitMs)
       this.#pending.set(request, { vm, finish })
