--- a/packages/gateway/src/limits/demand-shares.ts
+++ b/packages/gateway/src/limits/demand-shares.ts
@@ -75,13 +75,13 @@
  */
 export function createFleetDemand (shares: DemandShares, vms: number, hasAllReports: boolean): FleetDemand {
   const readTotal = (workspace: string): number => readTotalDemand(shares, workspace)
-  const readShare = (workspace: string): number => computeQuotaShare({ own: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
+  const readShare = (workspace: string): number => computeQuotaShare({ local: shares.publishedLocal.get(workspace) ?? 0, total: readTotal(workspace), vms })
   return { vms, hasAllReports, isCountedByFewVms: false, readShare, readTotal }
 }
 
 /**
- * Describes the demand on a large fleet, in which a few VMs count each limit. They have equal shares, since a VM whose request
- * is refused by one of them asks the next.
+ * Describes the demand on a large fleet, in which a few VMs count each limit. They have equal shares, since a VM whose permit
+ * request is refused by one of them sends it to the next.
  */
 export function createLargeFleetDemand (shares: DemandShares, isCounting: (workspace: string) => boolean): FleetDemand {
   return {
--- a/packages/gateway/src/statements/statement-context.ts
+++ b/packages/gateway/src/statements/statement-context.ts
@@ -9,7 +9,7 @@
 export interface StatementContext {
   clock: Clock
   location: VmLocation
-  /** Verifies with the group's endpoints that the primary still leads. Returns when they were asked, or after `waitMs`. */
+  /** Verifies with the group's endpoints that the primary still leads. Resolves when this is done, or after `waitMs`. */
   verifyLeadership: (group: ServiceGroup, waitMs: number) => Promise<void>
   /** Looks for the current primary, after the endpoint that this VM took for the primary reported that it does not lead. */
   refreshPrimary: (group: ServiceGroup) => void
@@ -18,7 +18,7 @@
   /** Timeout of a rollback, in milliseconds. After it the connection is closed, which also rolls back. */
   rollbackTimeoutMs: number
   /** Logs an endpoint's response to a statement, also when it is an error. */
-  logResponse: (operation: Operation, pool: EndpointPool, atLeast: LogPosition | null, answer: EndpointResponse) => void
+  logResponse: (operation: Operation, pool: EndpointPool, requiredPosition: LogPosition | null, response: EndpointResponse) => void
   /** Logs that an endpoint did not respond to a statement. */
   logNoResponse: (operation: Operation, pool: EndpointPool, reason: string) => void
 }
