--- a/packages/load/src/scenarios/caller.ts
+++ b/packages/load/src/scenarios/caller.ts
@@ -4,19 +4,19 @@
 import type { Fleet } from '../fleet/start-fleet.ts'
 import type { History, WriteOutcome } from './history.ts'
 
-export const PLAIN_TABLE = 'entries'
-export const PAIR_TABLE = 'pairs'
+export const ENTRIES_TABLE = 'entries'
+export const PAIRS_TABLE = 'pairs'
 /** Begins the literal that each read asks back. */
 export const NONCE_PREFIX = 'nonce-'
 
 const CONNECT_TIMEOUT_MS = 2_000
-const PAUSE_MS = 5
-const RETRY_PAUSE_MS = 25
+const OPERATION_INTERVAL_MS = 5
+const RETRY_DELAY_MS = 25
 const OPERATIONS_PER_VM = 7
-const SETTLE_ATTEMPTS = 200
-const MIN_PROTOCOL_ERRNO = 1_000
+const MAX_WRITE_ATTEMPTS = 200
+const MIN_MYSQL_ERRNO = 1_000
 
-export interface ScenarioCallerOptions {
+export interface ScenarioClientOptions {
   fleet: Fleet
   workspace: string
   key: string
@@ -25,10 +25,10 @@
   durationMs: number
   history: History
   /** Milliseconds since the run began. */
-  readNow: () => number
+  readElapsedMs: () => number
 }
 
-interface CallerState {
+interface ClientState {
   connection: Connection | null
   token: string | null
   vmIndex: number
@@ -36,36 +36,36 @@
   /** Own plain writes that were acknowledged in this session. */
   acknowledged: number
   /** Highest own sequence that this session has read. */
-  seen: number
+  highestReadSequence: number
 }
 
 interface MysqlError { errno?: number, message?: string }
 
 /** Runs one session that writes, reads and moves between VMs, and checks each answer. */
-export async function runScenarioCaller (options: ScenarioCallerOptions): Promise<void> {
-  const state: CallerState = { connection: null, token: null, vmIndex: options.index, sequence: 0, acknowledged: 0, seen: 0 }
-  while (options.readNow() < options.durationMs) {
-    await runStep(options, state)
-    await wait(PAUSE_MS)
+export async function runScenarioClient (options: ScenarioClientOptions): Promise<void> {
+  const state: ClientState = { connection: null, token: null, vmIndex: options.index, sequence: 0, acknowledged: 0, highestReadSequence: 0 }
+  while (options.readElapsedMs() < options.durationMs) {
+    await runNextOperation(options, state)
+    await wait(OPERATION_INTERVAL_MS)
   }
   state.connection?.destroy()
 }
 
-async function runStep (options: ScenarioCallerOptions, state: CallerState): Promise<void> {
+async function runNextOperation (options: ScenarioClientOptions, state: ClientState): Promise<void> {
   state.sequence += 1
-  const connection = await openConnection(options, state)
+  const connection = await ensureConnection(options, state)
   if (connection === null) return
   switch (state.sequence % 4) {
     case 0: return await runPlainWrite(options, state, connection)
-    case 1: return await runNamedWrite(options, state)
-    case 2: return await runPair(options, state, connection)
+    case 1: return await runWriteWithRequestId(options, state)
+    case 2: return await runPairTransaction(options, state, connection)
     default: return await runReads(options, state, connection)
   }
 }
 
-async function openConnection (options: ScenarioCallerOptions, state: CallerState): Promise<Connection | null> {
+async function ensureConnection (options: ScenarioClientOptions, state: ClientState): Promise<Connection | null> {
   if (state.connection !== null && state.sequence % OPERATIONS_PER_VM !== 0) return state.connection
-  if (state.connection !== null) await leaveVm(state)
+  if (state.connection !== null) await disconnectFromVm(state)
   state.vmIndex += 1
   const vm = options.fleet.vms[state.vmIndex % options.fleet.vms.length]
   try {
@@ -75,72 +75,72 @@
     if (state.token !== null) await connection.query(`SET @camphorpitch_session = '${state.token}'`)
     return connection
   } catch (error) {
-    options.history.failures.push(`connect: ${readMessage(error)}`)
+    options.history.failures.push(`connect: ${readErrorMessage(error)}`)
     dropConnection(state)
-    await wait(RETRY_PAUSE_MS)
+    await wait(RETRY_DELAY_MS)
     return null
   }
 }
 
 /** Takes the session's token along; where that fails, the next VM starts from what was acknowledged. */
-async function leaveVm (state: CallerState): Promise<void> {
+async function disconnectFromVm (state: ClientState): Promise<void> {
   const rows = await state.connection?.query<RowDataPacket[]>('SELECT @camphorpitch_session').catch(() => undefined)
   const token = rows?.[0][0]
   if (token !== undefined) state.token = String(Object.values(token)[0])
   dropConnection(state)
 }
 
-function dropConnection (state: CallerState): void {
+function dropConnection (state: ClientState): void {
   state.connection?.destroy()
   state.connection = null
 }
 
-function readMessage (error: unknown): string {
+function readErrorMessage (error: unknown): string {
   return String((error as MysqlError).message ?? error)
 }
 
 /** What the caller may conclude from an error after a statement was sent. */
-export function classifyOutcome (error: unknown): WriteOutcome {
+export function classifyWriteError (error: unknown): WriteOutcome {
   const { errno } = error as MysqlError
-  if (errno === undefined || errno < MIN_PROTOCOL_ERRNO || errno === RefusalCode.outcomeUnknown) return 'unknown'
+  if (errno === undefined || errno < MIN_MYSQL_ERRNO || errno === RefusalCode.outcomeUnknown) return 'unknown'
   return 'not run'
 }
 
-function handleError (options: ScenarioCallerOptions, state: CallerState, error: unknown): WriteOutcome {
-  options.history.failures.push(readMessage(error))
+function handleError (options: ScenarioClientOptions, state: ClientState, error: unknown): WriteOutcome {
+  options.history.failures.push(readErrorMessage(error))
   const { errno } = error as MysqlError
-  const isLost = errno === undefined || errno < MIN_PROTOCOL_ERRNO
-  if (isLost) dropConnection(state)
-  return classifyOutcome(error)
+  const isConnectionLost = errno === undefined || errno < MIN_MYSQL_ERRNO
+  if (isConnectionLost) dropConnection(state)
+  return classifyWriteError(error)
 }
 
-function recordWrite (options: ScenarioCallerOptions, id: string, rows: number, outcome: WriteOutcome, reason = ''): void {
-  options.history.writes.push({ id, outcome, rows, endedAtMs: options.readNow(), reason })
+function recordWrite (options: ScenarioClientOptions, id: string, rows: number, outcome: WriteOutcome, reason = ''): void {
+  options.history.writes.push({ id, outcome, rows, endedAtMs: options.readElapsedMs(), reason })
 }
 
-function formatInsert (options: ScenarioCallerOptions, id: string, sequence: number): string {
-  return `INSERT INTO ${PLAIN_TABLE} (id, caller, sequence) VALUES ('${id}', ${options.index}, ${sequence})`
+function formatInsert (options: ScenarioClientOptions, id: string, sequence: number): string {
+  return `INSERT INTO ${ENTRIES_TABLE} (id, caller, sequence) VALUES ('${id}', ${options.index}, ${sequence})`
 }
 
-async function runPlainWrite (options: ScenarioCallerOptions, state: CallerState, connection: Connection): Promise<void> {
+async function runPlainWrite (options: ScenarioClientOptions, state: ClientState, connection: Connection): Promise<void> {
   const id = `plain-${options.index}-${state.sequence}`
   try {
     await connection.query(formatInsert(options, id, state.sequence))
     state.acknowledged += 1
     recordWrite(options, id, 1, 'acknowledged')
   } catch (error) {
-    recordWrite(options, id, 1, handleError(options, state, error), readMessage(error))
-    await wait(RETRY_PAUSE_MS)
+    recordWrite(options, id, 1, handleError(options, state, error), readErrorMessage(error))
+    await wait(RETRY_DELAY_MS)
   }
 }
 
 /** A named write whose outcome is unknown is sent again under its name until its outcome is known. */
-async function runNamedWrite (options: ScenarioCallerOptions, state: CallerState): Promise<void> {
+async function runWriteWithRequestId (options: ScenarioClientOptions, state: ClientState): Promise<void> {
   const id = `named-${options.index}-${state.sequence}`
   let reason = ''
   let outcome: WriteOutcome = 'unknown'
-  for (let i = 0; i < SETTLE_ATTEMPTS && outcome !== 'acknowledged'; i++) {
-    const connection = state.connection ?? await openConnection(options, state)
+  for (let i = 0; i < MAX_WRITE_ATTEMPTS && outcome !== 'acknowledged'; i++) {
+    const connection = state.connection ?? await ensureConnection(options, state)
     if (connection === null) continue
     try {
       await connection.query(`SET @camphorpitch_request_id = '${id}'`)
@@ -148,52 +148,52 @@
       outcome = 'acknowledged'
       state.acknowledged += 1
     } catch (error) {
-      reason = readMessage(error)
+      reason = readErrorMessage(error)
       handleError(options, state, error)
-      await wait(RETRY_PAUSE_MS)
+      await wait(RETRY_DELAY_MS)
     }
   }
   recordWrite(options, id, 1, outcome, outcome === 'acknowledged' ? '' : reason)
 }
 
-async function runPair (options: ScenarioCallerOptions, state: CallerState, connection: Connection): Promise<void> {
+async function runPairTransaction (options: ScenarioClientOptions, state: ClientState, connection: Connection): Promise<void> {
   const id = `pair-${options.index}-${state.sequence}`
   let isCommitting = false
   try {
     await connection.query('BEGIN')
-    await connection.query(`INSERT INTO ${PAIR_TABLE} (id, half) VALUES ('${id}', 1)`)
-    await connection.query(`INSERT INTO ${PAIR_TABLE} (id, half) VALUES ('${id}', 2)`)
+    await connection.query(`INSERT INTO ${PAIRS_TABLE} (id, half) VALUES ('${id}', 1)`)
+    await connection.query(`INSERT INTO ${PAIRS_TABLE} (id, half) VALUES ('${id}', 2)`)
     isCommitting = true
     await connection.query('COMMIT')
     recordWrite(options, id, 2, 'acknowledged')
   } catch (error) {
     const outcome = handleError(options, state, error)
-    recordWrite(options, id, 2, isCommitting ? outcome : 'not run', readMessage(error))
+    recordWrite(options, id, 2, isCommitting ? outcome : 'not run', readErrorMessage(error))
     if (state.connection !== null) await connection.query('ROLLBACK').catch(() => dropConnection(state))
-    await wait(RETRY_PAUSE_MS)
+    await wait(RETRY_DELAY_MS)
   }
 }
 
-async function runReads (options: ScenarioCallerOptions, state: CallerState, connection: Connection): Promise<void> {
+async function runReads (options: ScenarioClientOptions, state: ClientState, connection: Connection): Promise<void> {
   const nonce = `${NONCE_PREFIX}${options.index}-${state.sequence}`
-  const acknowledgedBefore = state.acknowledged
+  const acknowledgedBeforeRead = state.acknowledged
   try {
-    const text = `SELECT '${nonce}' AS nonce, count(*) AS n, coalesce(max(sequence), 0) AS latest FROM ${PLAIN_TABLE} WHERE caller = ${options.index}`
+    const text = `SELECT '${nonce}' AS nonce, count(*) AS n, coalesce(max(sequence), 0) AS latest FROM ${ENTRIES_TABLE} WHERE caller = ${options.index}`
     const [rows] = await connection.query<RowDataPacket[]>(text)
     const row = rows[0] as { nonce: string, n: number, latest: number }
-    checkRead(options, state, row, nonce, acknowledgedBefore)
-    const [halves] = await connection.query<RowDataPacket[]>(`SELECT id, count(*) AS n FROM ${PAIR_TABLE} GROUP BY id HAVING count(*) <> 2`)
-    for (const h of halves) options.history.violations.push({ promise: 'transactions are whole', detail: `a reader saw ${h.n} rows of ${h.id}` })
+    checkRead(options, state, row, nonce, acknowledgedBeforeRead)
+    const [incompletePairs] = await connection.query<RowDataPacket[]>(`SELECT id, count(*) AS n FROM ${PAIRS_TABLE} GROUP BY id HAVING count(*) <> 2`)
+    for (const pair of incompletePairs) options.history.violations.push({ promise: 'transactions are whole', detail: `a reader saw ${pair.n} rows of ${pair.id}` })
     options.history.reads += 2
   } catch (error) {
     handleError(options, state, error)
   }
 }
 
-function checkRead (options: ScenarioCallerOptions, state: CallerState, row: { nonce: string, n: number, latest: number }, nonce: string, acknowledged: number): void {
+function checkRead (options: ScenarioClientOptions, state: ClientState, row: { nonce: string, n: number, latest: number }, nonce: string, acknowledged: number): void {
   const { violations } = options.history
   if (row.nonce !== nonce) violations.push({ promise: 'answers reach their own request', detail: `${nonce} was answered with ${row.nonce}` })
   if (Number(row.n) < acknowledged) violations.push({ promise: 'read your writes', detail: `caller ${options.index} read ${row.n} of ${acknowledged} acknowledged writes` })
-  if (Number(row.latest) < state.seen) violations.push({ promise: 'monotonic reads', detail: `caller ${options.index} read up to ${row.latest} after ${state.seen}` })
-  state.seen = Math.max(state.seen, Number(row.latest))
+  if (Number(row.latest) < state.highestReadSequence) violations.push({ promise: 'monotonic reads', detail: `caller ${options.index} read up to ${row.latest} after ${state.highestReadSequence}` })
+  state.highestReadSequence = Math.max(state.highestReadSequence, Number(row.latest))
 }
--- a/packages/load/src/scenarios/draw-scenario.test.ts
+++ b/packages/load/src/scenarios/draw-scenario.test.ts
@@ -9,10 +9,10 @@
 
 const SCENARIO_TIMEOUT_MS = 120_000
 /** Seeds that are played with every test run. */
-const PLAYED_SEEDS = [1, 2]
-const failedDirectory = fileURLToPath(new URL('../../../../scenarios/soak/', import.meta.url))
+const TEST_SEEDS = [1, 2]
+const failedScenarioDirectory = fileURLToPath(new URL('../../../../scenarios/soak/', import.meta.url))
 
-async function expectPromisesKept (scenario: Scenario): Promise<void> {
+async function expectNoViolations (scenario: Scenario): Promise<void> {
   const { violations, acknowledged } = await runScenario(scenario)
   expect(violations).to.deep.equal([])
   expect(acknowledged).to.be.greaterThan(0)
@@ -32,9 +32,9 @@
   it('leave two proxies alone at least, name none after its end, and end before the calm', () => {
     for (let seed = 0; seed < 500; seed++) {
       const { faults, fleet, durationMs } = drawScenario(seed)
-      const ended = faults.filter(f => f.kind === 'signal-vm' && ['SIGKILL', 'SIGTERM'].includes(f.signal))
-      expect(ended.length, `seed ${seed}`).to.be.at.most(fleet.vms - 2)
-      expect(new Set(ended.map(f => 'vm' in f ? f.vm : '')).size, `seed ${seed}`).to.equal(ended.length)
+      const terminations = faults.filter(f => f.kind === 'signal-vm' && ['SIGKILL', 'SIGTERM'].includes(f.signal))
+      expect(terminations.length, `seed ${seed}`).to.be.at.most(fleet.vms - 2)
+      expect(new Set(terminations.map(f => 'vm' in f ? f.vm : '')).size, `seed ${seed}`).to.equal(terminations.length)
       expect(faults.every(f => f.atMs <= durationMs - 5_000), `seed ${seed}`).to.equal(true)
     }
   })
@@ -42,11 +42,11 @@
 
 describe('soak with real processes', function () {
   this.timeout(SCENARIO_TIMEOUT_MS)
-  for (const seed of PLAYED_SEEDS) it(`keeps every promise with seed ${seed}`, async () => await expectPromisesKept(drawScenario(seed)))
+  for (const seed of TEST_SEEDS) it(`keeps every promise with seed ${seed}`, async () => await expectNoViolations(drawScenario(seed)))
 
-  const failed = existsSync(failedDirectory) ? readdirSync(failedDirectory).filter(f => f.endsWith('.json')).sort() : []
-  for (const file of failed) {
-    const scenario = readSettings(join(failedDirectory, file), scenarioSchema)
-    it(`${scenario.name}: ${scenario.about}`, async () => await expectPromisesKept(scenario))
+  const failedScenarioFiles = existsSync(failedScenarioDirectory) ? readdirSync(failedScenarioDirectory).filter(f => f.endsWith('.json')).sort() : []
+  for (const file of failedScenarioFiles) {
+    const scenario = readSettings(join(failedScenarioDirectory, file), scenarioSchema)
+    it(`${scenario.name}: ${scenario.about}`, async () => await expectNoViolations(scenario))
   }
 })
--- a/packages/load/src/scenarios/run-scenario.ts
+++ b/packages/load/src/scenarios/run-scenario.ts
@@ -6,17 +6,17 @@
 import { runFault } from '../faults/run-fault.ts'
 import { startFleet, type Fleet } from '../fleet/start-fleet.ts'
 import { ReadCounter } from '../measures/read-counter.ts'
-import { NONCE_PREFIX, PAIR_TABLE, PLAIN_TABLE, runScenarioCaller } from './caller.ts'
-import { checkKeys, checkLeft, PeakRecorder } from './check-endpoints.ts'
-import { checkWrites, computeGap } from './check-history.ts'
+import { ENTRIES_TABLE, NONCE_PREFIX, PAIRS_TABLE, runScenarioClient } from './caller.ts'
+import { checkKeyLeaks, checkLeavingEndpoints, PeakConnectionRecorder } from './check-endpoints.ts'
+import { checkWrites, computeMaxWriteGapMs } from './check-history.ts'
 import { createHistory, type History, type Violation, type WriteOutcome } from './history.ts'
 import type { Scenario } from './schema.ts'
 
 const WORKSPACE = 'kari'
 const DATABASE = 'orders'
 const RATE = { statementsPerSecond: 20_000, burst: 10_000 }
-const READY_ATTEMPTS = 600
-const READY_PAUSE_MS = 50
+const MAX_ATTEMPTS = 600
+const RETRY_DELAY_MS = 50
 const STATEMENT_TIMEOUT_MS = 3_000
 
 export interface ScenarioResult {
@@ -38,14 +38,14 @@
   skippedFaults: string[]
 }
 
-interface Run {
+interface ScenarioRun {
   scenario: Scenario
   fleet: Fleet
   key: string
   history: History
   reads: ReadCounter
   /** When endpoints were marked as leaving, in milliseconds since 1970. */
-  leftAtMs: Map<string, number>
+  leavingSinceMs: Map<string, number>
   skippedFaults: string[]
 }
 
@@ -58,34 +58,34 @@
   const { vms, replicationDelayMs, maxConnections } = scenario.fleet
   const fleet = await startFleet({ vms, databases: [DATABASE], endpoint: { replicationDelayMs, maxConnections }, logLevel: 'info' })
   try {
-    const granted = await createWorkspace(fleet, { workspace: WORKSPACE, databases: [DATABASE], rate: RATE, statementTimeoutMs: STATEMENT_TIMEOUT_MS })
-    const run: Run = { scenario, fleet, key: granted.key, history: createHistory(), reads: new ReadCounter(fleet.endpoints, text => text.includes(NONCE_PREFIX)), leftAtMs: new Map(), skippedFaults: [] }
+    const grantedKey = await createWorkspace(fleet, { workspace: WORKSPACE, databases: [DATABASE], rate: RATE, statementTimeoutMs: STATEMENT_TIMEOUT_MS })
+    const run: ScenarioRun = { scenario, fleet, key: grantedKey.key, history: createHistory(), reads: new ReadCounter(fleet.endpoints, text => text.includes(NONCE_PREFIX)), leavingSinceMs: new Map(), skippedFaults: [] }
     await createTables(run)
     await wait(scenario.settleMs)
-    return await runPrepared(run)
+    return await runClientsAndFaults(run)
   } finally {
     await fleet.stop()
   }
 }
 
-async function runPrepared (run: Run): Promise<ScenarioResult> {
+async function runClientsAndFaults (run: ScenarioRun): Promise<ScenarioResult> {
   const { scenario, fleet, key, history, reads } = run
-  const peaks = new PeakRecorder(fleet.endpoints)
+  const peakRecorder = new PeakConnectionRecorder(fleet.endpoints)
   reads.start()
-  const startedMs = performance.now()
-  const readNow = () => performance.now() - startedMs
-  const callers = Array.from({ length: scenario.callers }, async (_, index) =>
-    await runScenarioCaller({ fleet, workspace: WORKSPACE, key, database: DATABASE, index, durationMs: scenario.durationMs, history, readNow }))
-  await Promise.all([...callers, runFaults(run, peaks)])
-  const stored = await readStored(run)
+  const startedAtMs = performance.now()
+  const readElapsedMs = () => performance.now() - startedAtMs
+  const clients = Array.from({ length: scenario.callers }, async (_, index) =>
+    await runScenarioClient({ fleet, workspace: WORKSPACE, key, database: DATABASE, index, durationMs: scenario.durationMs, history, readElapsedMs }))
+  await Promise.all([...clients, runFaults(run, peakRecorder)])
+  const storedRowCounts = await readStoredRowCounts(run)
   const { replica } = await reads.countReads()
   reads.stop()
-  const violations = [...history.violations, ...checkWrites(history, stored), ...await checkKeys(fleet.endpoints, key), ...await peaks.checkPeaks(scenario.fleet.maxConnections)]
-  const delays = [...checkGap(history, scenario), ...await checkLeft(fleet.endpoints, run.leftAtMs)]
-  return { ...describeRun(run, replica), violations: [...violations, ...checkExpectations(history, scenario, replica)], delays, peakConnections: peaks.peak }
+  const violations = [...history.violations, ...checkWrites(history, storedRowCounts), ...await checkKeyLeaks(fleet.endpoints, key), ...await peakRecorder.checkConnectionLimit(scenario.fleet.maxConnections)]
+  const delays = [...checkWriteGap(history, scenario), ...await checkLeavingEndpoints(fleet.endpoints, run.leavingSinceMs)]
+  return { ...describeRun(run, replica), violations: [...violations, ...checkExpectations(history, scenario, replica)], delays, peakConnections: peakRecorder.peakConnections }
 }
 
-function describeRun ({ history, scenario, skippedFaults }: Run, replicaReads: number) {
+function describeRun ({ history, scenario, skippedFaults }: ScenarioRun, replicaReads: number) {
   const count = (outcome: WriteOutcome) => history.writes.filter(w => w.outcome === outcome).length
   return {
     acknowledged: count('acknowledged'),
@@ -93,36 +93,36 @@
     notRun: count('not run'),
     reads: history.reads,
     replicaReads,
-    gapMs: computeGap(history, scenario.durationMs),
+    gapMs: computeMaxWriteGapMs(history, scenario.durationMs),
     failures: history.failures,
     skippedFaults
   }
 }
 
-function checkGap (history: History, { expect, durationMs }: Scenario): Violation[] {
-  const gapMs = computeGap(history, durationMs)
+function checkWriteGap (history: History, { expect, durationMs }: Scenario): Violation[] {
+  const gapMs = computeMaxWriteGapMs(history, durationMs)
   if (expect.maxGapMs === undefined || gapMs <= expect.maxGapMs) return []
   return [{ promise: 'gap between acknowledged writes', detail: `${gapMs.toFixed(0)} ms, expected at most ${expect.maxGapMs} ms` }]
 }
 
 function checkExpectations (history: History, { expect }: Scenario, replicaReads: number): Violation[] {
-  const found: Violation[] = []
-  if (expect.minReplicaReads !== undefined && replicaReads < expect.minReplicaReads) found.push({ promise: 'reads served by replicas', detail: `${replicaReads}, expected at least ${expect.minReplicaReads}` })
-  if (expect.noFailures) found.push(...history.failures.map(detail => ({ promise: 'no statement is refused or cut', detail })))
-  return found
+  const violations: Violation[] = []
+  if (expect.minReplicaReads !== undefined && replicaReads < expect.minReplicaReads) violations.push({ promise: 'reads served by replicas', detail: `${replicaReads}, expected at least ${expect.minReplicaReads}` })
+  if (expect.noFailures) violations.push(...history.failures.map(detail => ({ promise: 'no statement is refused or cut', detail })))
+  return violations
 }
 
-async function runFaults (run: Run, peaks: PeakRecorder): Promise<void> {
-  const startedMs = performance.now()
+async function runFaults (run: ScenarioRun, peakRecorder: PeakConnectionRecorder): Promise<void> {
+  const startedAtMs = performance.now()
   for (const fault of [...run.scenario.faults].sort((a, b) => a.atMs - b.atMs)) {
-    await wait(Math.max(0, fault.atMs - (performance.now() - startedMs)))
-    await peaks.recordPeaks()
+    await wait(Math.max(0, fault.atMs - (performance.now() - startedAtMs)))
+    await peakRecorder.recordPeakConnections()
     await attemptFault(run, fault)
-    if (fault.kind === 'leave-endpoint') run.leftAtMs.set(fault.endpoint, Date.now())
+    if (fault.kind === 'leave-endpoint') run.leavingSinceMs.set(fault.endpoint, Date.now())
   }
 }
 
-async function attemptFault ({ fleet, reads, scenario, skippedFaults }: Run, fault: Fault): Promise<void> {
+async function attemptFault ({ fleet, reads, scenario, skippedFaults }: ScenarioRun, fault: Fault): Promise<void> {
   try {
     await runFault(fleet, fault, reads)
   } catch (error) {
@@ -132,33 +132,33 @@
 }
 
 /** @throws ExperimentError with every reason that was given, after many attempts */
-async function retryUntilDone<T> (action: () => Promise<T>): Promise<T> {
+async function retryUntilSuccess<T> (action: () => Promise<T>): Promise<T> {
   const reasons = new Set<string>()
-  for (let i = 0; i < READY_ATTEMPTS; i++) {
+  for (let i = 0; i < MAX_ATTEMPTS; i++) {
     try {
       return await action()
     } catch (error) {
       reasons.add(String(error).replace(/\d+ ms/, 'N ms'))
-      await wait(READY_PAUSE_MS)
+      await wait(RETRY_DELAY_MS)
     }
   }
   throw new ExperimentError([...reasons].join('; '))
 }
 
-async function createTables ({ fleet, key }: Run): Promise<void> {
+async function createTables ({ fleet, key }: ScenarioRun): Promise<void> {
   for (const vm of fleet.vms) {
-    const connection = await retryUntilDone(async () => await openCaller(fleet, vm, WORKSPACE, key, DATABASE))
-    await retryUntilDone(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${PLAIN_TABLE} (id TEXT, caller INTEGER, sequence INTEGER)`))
-    await retryUntilDone(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${PAIR_TABLE} (id TEXT, half INTEGER)`))
+    const connection = await retryUntilSuccess(async () => await openCaller(fleet, vm, WORKSPACE, key, DATABASE))
+    await retryUntilSuccess(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${ENTRIES_TABLE} (id TEXT, caller INTEGER, sequence INTEGER)`))
+    await retryUntilSuccess(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${PAIRS_TABLE} (id TEXT, half INTEGER)`))
     await connection.end()
   }
 }
 
 /** Reads every row through a live proxy, which includes all that was acknowledged. */
-async function readStored ({ fleet, key }: Run): Promise<Map<string, number>> {
-  const text = `SELECT id, count(*) AS n FROM (SELECT id FROM ${PLAIN_TABLE} UNION ALL SELECT id FROM ${PAIR_TABLE}) AS written GROUP BY id`
+async function readStoredRowCounts ({ fleet, key }: ScenarioRun): Promise<Map<string, number>> {
+  const text = `SELECT id, count(*) AS n FROM (SELECT id FROM ${ENTRIES_TABLE} UNION ALL SELECT id FROM ${PAIRS_TABLE}) AS written GROUP BY id`
   let attempt = 0
-  return await retryUntilDone(async () => {
+  return await retryUntilSuccess(async () => {
     const vm = fleet.vms[attempt++ % fleet.vms.length]
     const connection = await createConnection({ host: fleet.host, port: vm?.callersPort, user: WORKSPACE, password: key, database: DATABASE, connectTimeout: 2_000 })
     connection.on('error', () => {})
--- a/packages/load/src/scenarios/scenarios.test.ts
+++ b/packages/load/src/scenarios/scenarios.test.ts
@@ -3,12 +3,12 @@
 import { fileURLToPath } from 'node:url'
 import { readSettings } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { checkWrites, computeGap } from './check-history.ts'
+import { checkWrites, computeMaxWriteGapMs } from './check-history.ts'
 import type { History, WriteOutcome } from './history.ts'
 import { runScenario } from './run-scenario.ts'
 import { scenarioSchema } from './schema.ts'
 
-const directory = fileURLToPath(new URL('../../../../scenarios/', import.meta.url))
+const scenarioDirectory = fileURLToPath(new URL('../../../../scenarios/', import.meta.url))
 const SCENARIO_TIMEOUT_MS = 120_000
 
 function makeHistory (outcome: WriteOutcome, rows = 1): History {
@@ -17,24 +17,24 @@
 
 describe('checks of a history', () => {
   it('find lost, doubled, torn and falsely refused writes', () => {
-    const find = (outcome: WriteOutcome, rows: number, stored: number) => checkWrites(makeHistory(outcome, rows), new Map([['a', stored]])).map(v => v.promise)
-    expect(find('acknowledged', 1, 0)).to.deep.equal(['no acknowledged write is lost'])
-    expect(find('unknown', 1, 2)).to.deep.equal(['no write is doubled'])
-    expect(find('unknown', 2, 1)).to.deep.equal(['transactions are whole'])
-    expect(find('not run', 1, 1)).to.deep.equal(['a refusal that says not run is true'])
-    for (const stored of [0, 1]) expect(find('unknown', 1, stored)).to.deep.equal([])
+    const findBrokenPromises = (outcome: WriteOutcome, rows: number, stored: number) => checkWrites(makeHistory(outcome, rows), new Map([['a', stored]])).map(v => v.promise)
+    expect(findBrokenPromises('acknowledged', 1, 0)).to.deep.equal(['no acknowledged write is lost'])
+    expect(findBrokenPromises('unknown', 1, 2)).to.deep.equal(['no write is doubled'])
+    expect(findBrokenPromises('unknown', 2, 1)).to.deep.equal(['transactions are whole'])
+    expect(findBrokenPromises('not run', 1, 1)).to.deep.equal(['a refusal that says not run is true'])
+    for (const stored of [0, 1]) expect(findBrokenPromises('unknown', 1, stored)).to.deep.equal([])
   })
 
   it('measure the longest time without an acknowledged write', () => {
-    expect(computeGap(makeHistory('acknowledged'), 1_000)).to.equal(600)
-    expect(computeGap(makeHistory('unknown'), 1_000)).to.equal(1_000)
+    expect(computeMaxWriteGapMs(makeHistory('acknowledged'), 1_000)).to.equal(600)
+    expect(computeMaxWriteGapMs(makeHistory('unknown'), 1_000)).to.equal(1_000)
   })
 })
 
 describe('scenarios with real processes', function () {
   this.timeout(SCENARIO_TIMEOUT_MS)
-  for (const file of readdirSync(directory).filter(f => f.endsWith('.json')).sort()) {
-    const scenario = readSettings(join(directory, file), scenarioSchema)
+  for (const file of readdirSync(scenarioDirectory).filter(f => f.endsWith('.json')).sort()) {
+    const scenario = readSettings(join(scenarioDirectory, file), scenarioSchema)
     it(`${scenario.name}: ${scenario.about}`, async () => {
       const result = await runScenario(scenario)
       const { violations, failures, ...counts } = result
