--- a/packages/load/src/experiment/run-experiment.ts
+++ b/packages/load/src/experiment/run-experiment.ts
@@ -2,9 +2,9 @@
 import { createSeededRandom, describeError } from '@camphorpitch/wire'
 import { NaiveTarget } from '../baseline/naive-target.ts'
 import { createWorkspace } from '../demo/callers.ts'
-import { runFault } from '../faults/run-fault.ts'
+import { injectFault } from '../faults/run-fault.ts'
 import { startFleet, type Fleet } from '../fleet/start-fleet.ts'
-import { computeMeasures, selectSlowest, type Measures, type PrimaryLoss } from '../measures/compute-measures.ts'
+import { computeMeasures, selectSlowest, type Measures, type PrimaryFailure } from '../measures/compute-measures.ts'
 import { checkIntegrity, type Integrity } from '../measures/integrity.ts'
 import { ReadCounter } from '../measures/read-counter.ts'
 import type { Sample } from '../measures/sample.ts'
@@ -52,7 +52,7 @@
   /** Acknowledged ids by database. */
   acknowledged: Map<string, string[]>
   staleReads: string[]
-  losses: PrimaryLoss[]
+  losses: PrimaryFailure[]
   failedFaults: string[]
 }
 
@@ -154,7 +154,7 @@
 
 async function startFault (run: Run, fault: Fault, readNow: () => number): Promise<void> {
   try {
-    await runFault(run.fleet, fault, run.reads)
+    await injectFault(run.fleet, fault, run.reads)
     if (fault.kind === 'kill-primary' || fault.kind === 'freeze-primary') run.losses.push({ database: fault.database, atMs: readNow() })
   } catch (error) {
     run.failedFaults.push(`${fault.kind} at ${fault.atMs} ms: ${String(error)}`)
@@ -170,7 +170,7 @@
   const rates = new Map(workspaces.map(w => [w.workspace, w.rate]))
   return {
     system,
-    measures: computeMeasures({ samples, rates, reads, losses, durationMs, warmupMs }),
+    measures: computeMeasures({ samples, rates, reads, primaryFailures: losses, durationMs, warmupMs }),
     integrity: checkIntegrity(run.acknowledged, stored, run.staleReads.length),
     series: createTimeSeries(samples, durationMs),
     slowest: selectSlowest(samples, SLOWEST_COUNT),
--- a/packages/load/src/faults/run-fault.ts
+++ b/packages/load/src/faults/run-fault.ts
@@ -10,7 +10,7 @@
  *
  * @throws ExperimentError when the fault's target does not exist
  */
-export async function runFault (fleet: Fleet, fault: Fault, reads: ReadCounter): Promise<void> {
+export async function injectFault (fleet: Fleet, fault: Fault, reads: ReadCounter): Promise<void> {
   switch (fault.kind) {
     case 'kill-primary':
       await killPrimary(fleet, fault.database, reads)
@@ -31,34 +31,34 @@
       findVm(fleet, fault.vm).process.signal(fault.signal)
       break
     case 'leave-endpoint':
-      await updateLeaving(fleet, fault.database, fault.endpoint)
+      await setEndpointLeaving(fleet, fault.database, fault.endpoint)
       break
     case 'start-vm':
       await fleet.startVm(fault.vm, fault.failureDomain)
   }
 }
 
-async function updateLeaving ({ objectClient }: Fleet, name: string, endpoint: string): Promise<void> {
-  const stored = await objectClient.readObject('database', name)
+async function setEndpointLeaving ({ objectClient }: Fleet, databaseName: string, endpoint: string): Promise<void> {
+  const stored = await objectClient.readObject('database', databaseName)
   const database = databaseSchema.parse(stored.value)
   const endpoints = database.endpoints.map(e => e.endpoint === endpoint ? { ...e, state: 'leaving' as const } : e)
-  await objectClient.writeObject('database', name, stored.version, { ...database, endpoints })
+  await objectClient.writeObject('database', databaseName, stored.version, { ...database, endpoints })
 }
 
 async function killPrimary (fleet: Fleet, database: string, reads: ReadCounter): Promise<void> {
-  const primary = await pickPrimary(fleet, database)
-  await reads.recordStatements(primary)
+  const primary = await findCurrentPrimary(fleet, database)
+  await reads.saveStatements(primary)
   primary.process.signal('SIGKILL')
 }
 
 async function freezePrimary (fleet: Fleet, database: string, forMs: number): Promise<void> {
-  const { controlUrl } = await pickPrimary(fleet, database)
+  const { controlUrl } = await findCurrentPrimary(fleet, database)
   await sendFaults(controlUrl, { freeze: true })
   setTimeout(() => { sendFaults(controlUrl, { freeze: false }).catch(() => {}) }, forMs)
 }
 
 /** @throws ExperimentError while the group has no primary */
-async function pickPrimary (fleet: Fleet, database: string): Promise<FleetEndpoint> {
+async function findCurrentPrimary (fleet: Fleet, database: string): Promise<FleetEndpoint> {
   const primary = await findPrimary(fleet, database)
   if (primary === undefined) throw new ExperimentError(`${database} has no primary`)
   return primary
--- a/packages/load/src/fleet/child-process.ts
+++ b/packages/load/src/fleet/child-process.ts
@@ -8,8 +8,8 @@
 const STOP_TIMEOUT_MS = 20_000
 
 /** Children that this process would leave behind if it ended now. */
-const running = new Set<ChildProcess>()
-process.once('exit', () => { for (const child of running) child.kill('SIGKILL') })
+const runningChildren = new Set<ChildProcess>()
+process.once('exit', () => { for (const child of runningChildren) child.kill('SIGKILL') })
 
 /** Ends this process, and with it its children, on SIGINT and SIGTERM. */
 export function handleInterrupt (): void {
@@ -34,7 +34,7 @@
 export interface ChildOptions {
   binary: string
   settingsFile: string
-  onLine?: (line: LogLine) => void
+  onLogLine?: (line: LogLine) => void
 }
 
 /**
@@ -42,15 +42,15 @@
  *
  * @throws FleetError when it ends before it is ready
  */
-export async function startChild ({ binary, settingsFile, onLine }: ChildOptions): Promise<StartedProcess> {
+export async function startChild ({ binary, settingsFile, onLogLine }: ChildOptions): Promise<StartedProcess> {
   const child = spawn(process.execPath, [binary, '--settings', settingsFile], { stdio: ['ignore', 'pipe', 'pipe'] })
-  running.add(child)
-  child.once('exit', () => running.delete(child))
-  const errors: string[] = []
-  child.stderr.on('data', (data: Buffer) => errors.push(data.toString()))
-  const ready = await waitForReady(child, onLine).catch(cause => {
+  runningChildren.add(child)
+  child.once('exit', () => runningChildren.delete(child))
+  const stderrChunks: string[] = []
+  child.stderr.on('data', (data: Buffer) => stderrChunks.push(data.toString()))
+  const ready = await waitForReady(child, onLogLine).catch(cause => {
     child.kill('SIGKILL')
-    throw new FleetError(`${binary} did not start: ${errors.join('')}`, { cause })
+    throw new FleetError(`${binary} did not start: ${stderrChunks.join('')}`, { cause })
   })
   return {
     pid: child.pid as number,
@@ -61,15 +61,15 @@
   }
 }
 
-async function waitForReady (child: ChildProcess, onLine: ((line: LogLine) => void) | undefined): Promise<LogLine> {
+async function waitForReady (child: ChildProcess, onLogLine: ((line: LogLine) => void) | undefined): Promise<LogLine> {
   const lines = createInterface({ input: child.stdout as NodeJS.ReadableStream })
   return await new Promise((resolve, reject) => {
     const timer = setTimeout(() => reject(new FleetError('no listening line in time')), START_TIMEOUT_MS)
     child.once('exit', code => reject(new FleetError(`exit code ${code}`)))
     lines.on('line', text => {
-      const line = parseLine(text)
+      const line = parseLogLine(text)
       if (line === undefined) return
-      onLine?.(line)
+      onLogLine?.(line)
       if (line.message !== 'listening') return
       clearTimeout(timer)
       resolve(line)
@@ -77,7 +77,7 @@
   })
 }
 
-function parseLine (text: string): LogLine | undefined {
+function parseLogLine (text: string): LogLine | undefined {
   try {
     return logLineSchema.parse(JSON.parse(text))
   } catch {
@@ -85,12 +85,12 @@
   }
 }
 
-function hasEnded (child: ChildProcess): boolean {
+function hasExited (child: ChildProcess): boolean {
   return child.exitCode !== null || child.signalCode !== null
 }
 
 async function stopChild (child: ChildProcess): Promise<number | null> {
-  if (hasEnded(child)) return child.exitCode
+  if (hasExited(child)) return child.exitCode
   const exited = once(child, 'exit')
   child.kill('SIGTERM')
   const timer = setTimeout(() => child.kill('SIGKILL'), STOP_TIMEOUT_MS)
@@ -100,7 +100,7 @@
 }
 
 async function killChild (child: ChildProcess): Promise<void> {
-  if (hasEnded(child)) return
+  if (hasExited(child)) return
   const exited = once(child, 'exit')
   child.kill('SIGKILL')
   await exited
--- a/packages/load/src/fleet/loopback-link.test.ts
+++ b/packages/load/src/fleet/loopback-link.test.ts
@@ -5,8 +5,8 @@
 
 const HOST = '127.0.0.1'
 
-async function waitUntil (isDone: () => boolean): Promise<void> {
-  while (!isDone()) await new Promise(resolve => setTimeout(resolve, 5))
+async function waitUntil (hasHappened: () => boolean): Promise<void> {
+  while (!hasHappened()) await new Promise(resolve => setTimeout(resolve, 5))
 }
 
 describe('link on loopback', () => {
@@ -17,7 +17,7 @@
   let accepted: Socket[]
   const clients: Socket[] = []
 
-  async function open (): Promise<Socket> {
+  async function openClient (): Promise<Socket> {
     const client = connect(port, HOST)
     client.on('error', () => {})
     clients.push(client)
@@ -49,52 +49,52 @@
   })
 
   it('carries both directions, and ends both ends with either', async () => {
-    const client = await open()
+    const client = await openClient()
     client.write('one')
-    const [answer] = await once(client, 'data')
-    expect(String(answer)).to.equal('echo one')
+    const [response] = await once(client, 'data')
+    expect(String(response)).to.equal('echo one')
     accepted[0]!.destroy()
     await once(client, 'close')
   })
 
   it('keeps connections open in silence, in one direction or both', async () => {
-    const client = await open()
-    const answers: string[] = []
-    client.on('data', piece => answers.push(String(piece)))
+    const client = await openClient()
+    const responses: string[] = []
+    client.on('data', piece => responses.push(String(piece)))
     client.write('one')
-    await waitUntil(() => answers.length === 1)
+    await waitUntil(() => responses.length === 1)
     link.setMode('silentToClient')
     client.write('two')
     await waitUntil(() => received === 'onetwo')
     link.setMode('silent')
     client.write('three')
-    const other = await open()
-    other.write('four')
+    const secondClient = await openClient()
+    secondClient.write('four')
     expect(client.destroyed).to.equal(false)
-    expect(answers).to.deep.equal(['echo one'])
+    expect(responses).to.deep.equal(['echo one'])
     link.setMode('open')
     await waitUntil(() => client.destroyed)
     expect(received).to.equal('onetwo')
   })
 
   it('cuts connections and refuses new ones', async () => {
-    const client = await open()
+    const client = await openClient()
     client.write('one')
     await waitUntil(() => received === 'one')
     link.setMode('reset')
     await waitUntil(() => client.destroyed)
-    const late = connect(port, HOST)
-    late.on('error', () => {})
-    await waitUntil(() => late.destroyed)
+    const refusedClient = connect(port, HOST)
+    refusedClient.on('error', () => {})
+    await waitUntil(() => refusedClient.destroyed)
     expect(received).to.equal('one')
   })
 
   it('delays what it carries', async () => {
-    const client = await open()
+    const client = await openClient()
     link.setMode('open', 50)
-    const startedMs = performance.now()
+    const startedAtMs = performance.now()
     client.write('one')
     await once(client, 'data')
-    expect(performance.now() - startedMs).to.be.at.least(95)
+    expect(performance.now() - startedAtMs).to.be.at.least(95)
   })
 })
--- a/packages/load/src/fleet/loopback-link.ts
+++ b/packages/load/src/fleet/loopback-link.ts
@@ -13,7 +13,7 @@
   port: number
 }
 
-interface Pair { client: Socket, server: Socket }
+interface SocketPair { client: Socket, server: Socket }
 
 /**
  * A TCP path on loopback that can be delayed, silenced and cut from outside of both ends.
@@ -25,7 +25,7 @@
   /** Delay of each piece that is carried, in milliseconds. */
   delayMs = 0
   readonly #options: LoopbackLinkOptions
-  readonly #pairs = new Set<Pair>()
+  readonly #pairs = new Set<SocketPair>()
   readonly #server: Server
 
   constructor (options: LoopbackLinkOptions) {
@@ -82,13 +82,13 @@
     this.#forward(server, client, 'silentToClient', pair)
   }
 
-  #forward (from: Socket, to: Socket, silentMode: LinkMode, pair: Pair): void {
+  #forward (from: Socket, to: Socket, silentMode: LinkMode, pair: SocketPair): void {
     from.setNoDelay(true)
     const isSilent = (): boolean => this.mode === 'silent' || this.mode === silentMode
-    from.on('data', piece => {
+    from.on('data', chunk => {
       if (isSilent()) return
-      if (this.delayMs === 0) to.write(piece)
-      else setTimeout(() => { if (!to.destroyed) to.write(piece) }, this.delayMs)
+      if (this.delayMs === 0) to.write(chunk)
+      else setTimeout(() => { if (!to.destroyed) to.write(chunk) }, this.delayMs)
     })
     // An end that is gone ends the other as well; which of them failed matters to neither.
     from.on('error', () => to.destroy())
--- a/packages/load/src/fleet/start-fleet.ts
+++ b/packages/load/src/fleet/start-fleet.ts
@@ -12,7 +12,7 @@
 const VM_LIST_LAG_MS = 200
 const SESSION_KEY_BYTES = 32
 /** Where every log line of every process goes, at level debug, when it is set. */
-const logFile = process.env.CAMPHORPITCH_FLEET_LOG
+const logFilePath = process.env.CAMPHORPITCH_FLEET_LOG
 /** Failure domains of VMs and instances in turn, each a region of its own. */
 const FAILURE_DOMAINS = ['north', 'middle', 'south']
 
@@ -71,7 +71,7 @@
   stop: () => Promise<void>
 }
 
-interface Workplace {
+interface FleetContext {
   directory: string
   options: FleetOptions
   processes: StartedProcess[]
@@ -86,25 +86,25 @@
  */
 export async function startFleet (options: FleetOptions = {}): Promise<Fleet> {
   const directory = await mkdtemp(join(tmpdir(), 'camphorpitch-'))
-  const workplace: Workplace = { directory, options, processes: [], links: [] }
+  const context: FleetContext = { directory, options, processes: [], links: [] }
   try {
-    return await startParts(workplace)
+    return await startFleetProcesses(context)
   } catch (error) {
-    await stopFleet(workplace)
+    await stopFleet(context)
     throw error
   }
 }
 
-async function startParts (workplace: Workplace): Promise<Fleet> {
-  const { vms: count = 3, databases = ['orders'] } = workplace.options
-  const platform = await startBinary(workplace, 'standins/dist/platform.js', 'platform', { faults: { vmLagMs: VM_LIST_LAG_MS } })
+async function startFleetProcesses (context: FleetContext): Promise<Fleet> {
+  const { vms: count = 3, databases = ['orders'] } = context.options
+  const platform = await startBinary(context, 'standins/dist/platform.js', 'platform', { faults: { vmLagMs: VM_LIST_LAG_MS } })
   const platformUrl = `http://${HOST}:${platform.ready.port}`
   const objectClient = new ObjectClient({ url: platformUrl })
   await objectClient.writeObject('fleet-secret', 'session', 0, { sessionKeys: [randomBytes(SESSION_KEY_BYTES).toString('hex')] })
   const endpoints: FleetEndpoint[] = []
   for (const database of databases) {
-    const group = await startGroup(workplace, database)
-    await objectClient.writeObject('database', database, 0, describeDatabase(database, group, pickLimits(workplace.options)))
+    const group = await startGroup(context, database)
+    await objectClient.writeObject('database', database, 0, describeDatabase(database, group, pickLimits(context.options)))
     endpoints.push(...group)
   }
   const fleet: Fleet = {
@@ -115,36 +115,36 @@
     platform,
     vms: [],
     endpoints,
-    startVm: async (vm, failureDomain) => await startVm(workplace, fleet, vm, failureDomain),
-    stop: async () => await stopFleet(workplace)
+    startVm: async (vm, failureDomain) => await startVm(context, fleet, vm, failureDomain),
+    stop: async () => await stopFleet(context)
   }
   const names = Array.from({ length: count }, (_, i) => `vm-${i + 1}`)
-  await Promise.all(names.map(async (vm, i) => await fleet.startVm(vm, pickDomain(i))))
+  await Promise.all(names.map(async (vm, i) => await fleet.startVm(vm, pickFailureDomain(i))))
   fleet.vms.sort((a, b) => a.vm.localeCompare(b.vm, 'en', { numeric: true }))
   return fleet
 }
 
-function pickDomain (index: number): string {
+function pickFailureDomain (index: number): string {
   return FAILURE_DOMAINS[index % FAILURE_DOMAINS.length] as string
 }
 
-async function startGroup (workplace: Workplace, database: string): Promise<FleetEndpoint[]> {
-  const { instancesPerDatabase = 3 } = workplace.options
+async function startGroup (context: FleetContext, database: string): Promise<FleetEndpoint[]> {
+  const { instancesPerDatabase = 3 } = context.options
   const names = Array.from({ length: instancesPerDatabase }, (_, i) => `${database}-${i + 1}`)
   const [firstName, ...otherNames] = names as [string, ...string[]]
-  const first = await startEndpoint(workplace, database, firstName, firstName, [], 0)
+  const first = await startEndpoint(context, database, firstName, firstName, [], 0)
   const members = [{ instance: firstName, host: HOST, port: first.port }]
-  const others = await Promise.all(otherNames.map(async (name, i) => await startEndpoint(workplace, database, name, firstName, members, i + 1)))
-  return [first, ...others]
+  const otherEndpoints = await Promise.all(otherNames.map(async (name, i) => await startEndpoint(context, database, name, firstName, members, i + 1)))
+  return [first, ...otherEndpoints]
 }
 
-async function startEndpoint (workplace: Workplace, database: string, endpoint: string, initialPrimary: string, members: unknown[], index: number): Promise<FleetEndpoint> {
-  const failureDomain = pickDomain(index)
-  const settings = { ...workplace.options.endpoint, instance: endpoint, failureDomain, initialPrimary, members }
-  const started = await startBinary(workplace, 'standins/dist/endpoint.js', endpoint, settings)
+async function startEndpoint (context: FleetContext, database: string, endpoint: string, initialPrimary: string, members: unknown[], index: number): Promise<FleetEndpoint> {
+  const failureDomain = pickFailureDomain(index)
+  const settings = { ...context.options.endpoint, instance: endpoint, failureDomain, initialPrimary, members }
+  const started = await startBinary(context, 'standins/dist/endpoint.js', endpoint, settings)
   const port = Number(started.ready.port)
   const link = new LoopbackLink({ host: HOST, port })
-  workplace.links.push(link)
+  context.links.push(link)
   await link.start()
   return { endpoint, database, failureDomain, port, controlUrl: `http://${HOST}:${started.ready.controlPort}`, process: started, link }
 }
@@ -159,41 +159,41 @@
   return { database, endpoints }
 }
 
-async function startVm (workplace: Workplace, fleet: Fleet, vm: string, failureDomain: string): Promise<FleetVm> {
+async function startVm (context: FleetContext, fleet: Fleet, vm: string, failureDomain: string): Promise<FleetVm> {
   const address = { host: HOST, port: 0 }
-  const { logLevel = logFile === undefined ? 'info' : 'debug' } = workplace.options
+  const { logLevel = logFilePath === undefined ? 'info' : 'debug' } = context.options
   const settings = { vm, failureDomain, region: failureDomain, callers: address, peers: address, metrics: address, platform: fleet.platformUrl, logLevel }
-  const started = await startBinary(workplace, 'proxy/dist/main.js', vm, settings)
+  const started = await startBinary(context, 'proxy/dist/main.js', vm, settings)
   const { callersPort, peerPort, metricsPort } = started.ready as unknown as FleetVm
-  const listed: Vm = { vm, host: HOST, peerPort, failureDomain, region: failureDomain, state: 'live' }
-  await fetch(`${fleet.platformControlUrl}/vms/${vm}`, { method: 'PUT', headers: { 'content-type': 'application/json' }, body: JSON.stringify(listed) })
-  const running: FleetVm = { vm, failureDomain, callersPort, peerPort, metricsPort, process: started }
-  fleet.vms.push(running)
-  return running
+  const vmEntry: Vm = { vm, host: HOST, peerPort, failureDomain, region: failureDomain, state: 'live' }
+  await fetch(`${fleet.platformControlUrl}/vms/${vm}`, { method: 'PUT', headers: { 'content-type': 'application/json' }, body: JSON.stringify(vmEntry) })
+  const fleetVm: FleetVm = { vm, failureDomain, callersPort, peerPort, metricsPort, process: started }
+  fleet.vms.push(fleetVm)
+  return fleetVm
 }
 
-async function startBinary (workplace: Workplace, binary: string, name: string, settings: unknown): Promise<StartedProcess> {
-  const settingsFile = join(workplace.directory, `${name}.json`)
+async function startBinary (context: FleetContext, binary: string, name: string, settings: unknown): Promise<StartedProcess> {
+  const settingsFile = join(context.directory, `${name}.json`)
   await writeFile(settingsFile, JSON.stringify(settings))
-  const path = join(findPackages(), binary)
-  const started = await startChild({ binary: path, settingsFile, onLine: line => publishLine(workplace.options, name, line) })
-  workplace.processes.push(started)
+  const path = join(findPackagesDirectory(), binary)
+  const started = await startChild({ binary: path, settingsFile, onLogLine: line => forwardLogLine(context.options, name, line) })
+  context.processes.push(started)
   return started
 }
 
-function publishLine ({ onLine }: FleetOptions, name: string, line: LogLine): void {
+function forwardLogLine ({ onLine }: FleetOptions, name: string, line: LogLine): void {
   onLine?.(name, line)
-  if (logFile !== undefined) appendFileSync(logFile, `${JSON.stringify(line)}\n`)
+  if (logFilePath !== undefined) appendFileSync(logFilePath, `${JSON.stringify(line)}\n`)
 }
 
 /** The workspace's `packages` folder, from the source as from the bundle. */
-function findPackages (): string {
+function findPackagesDirectory (): string {
   const path = fileURLToPath(import.meta.url)
   const folder = join('load', path.includes(join('load', 'dist')) ? 'dist' : 'src')
   return path.slice(0, path.lastIndexOf(folder))
 }
 
-async function stopFleet ({ processes, links, directory }: Workplace): Promise<void> {
+async function stopFleet ({ processes, links, directory }: FleetContext): Promise<void> {
   await Promise.all(processes.map(async p => await p.kill()))
   await Promise.all(links.map(async l => await l.stop()))
   await rm(directory, { recursive: true, force: true })
--- a/packages/load/src/measures/compute-measures.ts
+++ b/packages/load/src/measures/compute-measures.ts
@@ -2,7 +2,7 @@
 import { selectWithinRate, type ReferenceRate } from './reference-bucket.ts'
 import type { Sample } from './sample.ts'
 
-const HISTOGRAM_MAX_MICROS = 600_000_000
+const MAX_LATENCY_MICROS = 600_000_000
 
 /** An endpoint's share of the reads. */
 export interface ReadCount {
@@ -11,7 +11,7 @@
 }
 
 /** When a database lost its primary, in milliseconds since the run began. */
-export interface PrimaryLoss {
+export interface PrimaryFailure {
   database: string
   atMs: number
 }
@@ -20,7 +20,7 @@
   samples: readonly Sample[]
   rates: ReadonlyMap<string, ReferenceRate>
   reads: ReadCount
-  losses: readonly PrimaryLoss[]
+  primaryFailures: readonly PrimaryFailure[]
   durationMs: number
   /** Operations due earlier only count for the tokens that they took. */
   warmupMs?: number
@@ -37,7 +37,7 @@
   wrongfullyRefused: number
 }
 
-export interface FailoverGap extends PrimaryLoss {
+export interface FailoverGap extends PrimaryFailure {
   /** Time to the end of the first acknowledged write that began after the loss; `null` for none. */
   gapMs: number | null
 }
@@ -61,19 +61,19 @@
 
 /** @example const measures = computeMeasures({ samples, rates, reads: { primary: 10, replica: 90 }, losses: [], durationMs: 20_000 }) */
 export function computeMeasures (input: MeasureInput): Measures {
-  const { rates, reads, losses, durationMs, warmupMs = 0 } = input
+  const { rates, reads, primaryFailures, durationMs, warmupMs = 0 } = input
   const samples = input.samples.filter(s => s.intendedAtMs >= warmupMs)
   const workspaces = [...rates].map(([workspace, rate]) => measureWorkspace(workspace, rate, input.samples, warmupMs))
   const wrongfullyRefused = computeSum(workspaces.map(w => w.wrongfullyRefused))
   const totalReads = reads.primary + reads.replica
-  const served = workspaces.filter(w => w.operations > 0)
+  const activeWorkspaces = workspaces.filter(w => w.operations > 0)
   return {
     replicaReadShare: totalReads === 0 ? null : reads.replica / totalReads,
-    failoverGaps: losses.map(loss => ({ ...loss, gapMs: measureGap(samples, loss) })),
-    worstP99Ms: Math.max(0, ...served.map(w => w.p99Ms)),
-    meanP99Ms: computeMean(served.map(w => w.p99Ms)),
-    worstSuccess: Math.min(1, ...served.map(w => w.success)),
-    meanSuccess: computeMean(served.map(w => w.success)),
+    failoverGaps: primaryFailures.map(failure => ({ ...failure, gapMs: measureFailoverGapMs(samples, failure) })),
+    worstP99Ms: Math.max(0, ...activeWorkspaces.map(w => w.p99Ms)),
+    meanP99Ms: computeMean(activeWorkspaces.map(w => w.p99Ms)),
+    worstSuccess: Math.min(1, ...activeWorkspaces.map(w => w.success)),
+    meanSuccess: computeMean(activeWorkspaces.map(w => w.success)),
     wrongfullyRefused,
     wrongfullyRefusedShare: samples.length === 0 ? 0 : wrongfullyRefused / samples.length,
     operationsPerSecond: countOutcome(samples, 'ok') * 1_000 / (durationMs - warmupMs),
@@ -83,26 +83,26 @@
   }
 }
 
-function measureWorkspace (workspace: string, rate: ReferenceRate, all: readonly Sample[], warmupMs: number): WorkspaceMeasure {
-  const own = all.filter(s => s.workspace === workspace)
-  const samples = own.filter(s => s.intendedAtMs >= warmupMs)
-  const within = selectWithinRate(own, rate).filter(s => s.intendedAtMs >= warmupMs)
-  const histogram = createHistogram(samples.filter(s => s.outcome === 'ok'))
+function measureWorkspace (workspace: string, rate: ReferenceRate, allSamples: readonly Sample[], warmupMs: number): WorkspaceMeasure {
+  const workspaceSamples = allSamples.filter(s => s.workspace === workspace)
+  const samples = workspaceSamples.filter(s => s.intendedAtMs >= warmupMs)
+  const withinRate = selectWithinRate(workspaceSamples, rate).filter(s => s.intendedAtMs >= warmupMs)
+  const histogram = createLatencyHistogram(samples.filter(s => s.outcome === 'ok'))
   return {
     workspace,
     operations: samples.length,
     p50Ms: histogram.getValueAtPercentile(50) / 1_000,
     p99Ms: histogram.getValueAtPercentile(99) / 1_000,
-    success: within.length === 0 ? 1 : countOutcome(within, 'ok') / within.length,
-    wrongfullyRefused: countOutcome(within, 'limited')
+    success: withinRate.length === 0 ? 1 : countOutcome(withinRate, 'ok') / withinRate.length,
+    wrongfullyRefused: countOutcome(withinRate, 'limited')
   }
 }
 
 /** Latencies in microseconds, from the time when each operation was due. */
-export function createHistogram (samples: readonly Sample[]): Histogram {
-  const histogram = build({ highestTrackableValue: HISTOGRAM_MAX_MICROS, numberOfSignificantValueDigits: 3 })
+export function createLatencyHistogram (samples: readonly Sample[]): Histogram {
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROS, numberOfSignificantValueDigits: 3 })
   for (const s of samples) {
-    histogram.recordValue(Math.min(HISTOGRAM_MAX_MICROS, Math.max(1, Math.round((s.endedAtMs - s.intendedAtMs) * 1_000))))
+    histogram.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(1, Math.round((s.endedAtMs - s.intendedAtMs) * 1_000))))
   }
   return histogram
 }
@@ -114,11 +114,11 @@
     .slice(0, count)
 }
 
-function measureGap (samples: readonly Sample[], loss: PrimaryLoss): number | null {
+function measureFailoverGapMs (samples: readonly Sample[], failure: PrimaryFailure): number | null {
   const ends = samples
-    .filter(s => s.database === loss.database && s.kind !== 'read' && s.outcome === 'ok' && s.startedAtMs >= loss.atMs)
+    .filter(s => s.database === failure.database && s.kind !== 'read' && s.outcome === 'ok' && s.startedAtMs >= failure.atMs)
     .map(s => s.endedAtMs)
-  return ends.length === 0 ? null : Math.min(...ends) - loss.atMs
+  return ends.length === 0 ? null : Math.min(...ends) - failure.atMs
 }
 
 function countOutcome (samples: readonly Sample[], outcome: Sample['outcome']): number {
--- a/packages/load/src/measures/integrity.ts
+++ b/packages/load/src/measures/integrity.ts
@@ -9,21 +9,21 @@
 }
 
 /** Compares acknowledged ids with those stored; each database apart. */
-export function checkIntegrity (acknowledged: ReadonlyMap<string, readonly string[]>, stored: ReadonlyMap<string, readonly string[] | null>, staleReads: number): Integrity {
-  let lost = 0
-  let doubled = 0
+export function checkIntegrity (acknowledgedByDatabase: ReadonlyMap<string, readonly string[]>, storedByDatabase: ReadonlyMap<string, readonly string[] | null>, staleReads: number): Integrity {
+  let lostWrites = 0
+  let doubledWrites = 0
   let acknowledgedWrites = 0
-  let isComplete = true
-  for (const [database, ids] of acknowledged) {
+  let isEveryDatabaseReadable = true
+  for (const [database, ids] of acknowledgedByDatabase) {
     acknowledgedWrites += ids.length
-    const present = stored.get(database) ?? null
-    if (present === null) {
-      isComplete = false
+    const storedIds = storedByDatabase.get(database) ?? null
+    if (storedIds === null) {
+      isEveryDatabaseReadable = false
       continue
     }
-    const distinct = new Set(present)
-    lost += ids.filter(id => !distinct.has(id)).length
-    doubled += present.length - distinct.size
+    const distinctIds = new Set(storedIds)
+    lostWrites += ids.filter(id => !distinctIds.has(id)).length
+    doubledWrites += storedIds.length - distinctIds.size
   }
-  return { acknowledgedWrites, lostWrites: isComplete ? lost : null, doubledWrites: isComplete ? doubled : null, staleReads }
+  return { acknowledgedWrites, lostWrites: isEveryDatabaseReadable ? lostWrites : null, doubledWrites: isEveryDatabaseReadable ? doubledWrites : null, staleReads }
 }
--- a/packages/load/src/measures/measures.test.ts
+++ b/packages/load/src/measures/measures.test.ts
@@ -7,9 +7,9 @@
 import type { Sample } from './sample.ts'
 import { createTimeSeries } from './time-series.ts'
 
-function makeSample (part: Partial<Sample> = {}): Sample {
-  const startedAtMs = part.startedAtMs ?? 0
-  return { workspace: 'oslo', database: 'orders', kind: 'read', statements: 1, intendedAtMs: startedAtMs, startedAtMs, endedAtMs: startedAtMs + 10, outcome: 'ok', reason: '', ...part }
+function makeSample (overrides: Partial<Sample> = {}): Sample {
+  const startedAtMs = overrides.startedAtMs ?? 0
+  return { workspace: 'oslo', database: 'orders', kind: 'read', statements: 1, intendedAtMs: startedAtMs, startedAtMs, endedAtMs: startedAtMs + 10, outcome: 'ok', reason: '', ...overrides }
 }
 
 const rates = new Map([['oslo', { statementsPerSecond: 10, burst: 5 }], ['voss', { statementsPerSecond: 10, burst: 5 }]])
@@ -30,11 +30,11 @@
 })
 
 describe('computeMeasures', () => {
-  const base = { rates, reads: { primary: 1, replica: 3 }, losses: [], durationMs: 1_000 }
+  const baseInput = { rates, reads: { primary: 1, replica: 3 }, primaryFailures: [], durationMs: 1_000 }
 
   it('counts only refusals within the rate as wrong', () => {
     const samples = Array.from({ length: 8 }, (_, i) => makeSample({ startedAtMs: i, outcome: i === 0 || i === 7 ? 'limited' : 'ok' }))
-    const measures = computeMeasures({ ...base, samples })
+    const measures = computeMeasures({ ...baseInput, samples })
     expect(measures.wrongfullyRefused).to.equal(1)
     expect(measures.workspaces[0]!.success).to.equal(4 / 5)
     expect(measures.replicaReadShare).to.equal(0.75)
@@ -42,19 +42,19 @@
 
   it('leaves out the warm-up, but not the tokens that it took', () => {
     const samples = [...Array.from({ length: 5 }, () => makeSample()), makeSample({ startedAtMs: 10, outcome: 'limited' })]
-    const measures = computeMeasures({ ...base, samples, warmupMs: 5 })
+    const measures = computeMeasures({ ...baseInput, samples, warmupMs: 5 })
     expect(measures.outcomes).to.deep.include({ ok: 0, limited: 1 })
     expect(measures.wrongfullyRefused).to.equal(0)
   })
 
   it('measures latency from when the operation was due', () => {
     const samples = [makeSample({ intendedAtMs: 0, startedAtMs: 500, endedAtMs: 510 })]
-    expect(computeMeasures({ ...base, samples }).worstP99Ms).to.be.closeTo(510, 1)
+    expect(computeMeasures({ ...baseInput, samples }).worstP99Ms).to.be.closeTo(510, 1)
   })
 
   it('sets the worst-served workspace against the mean', () => {
     const samples = [makeSample({ endedAtMs: 10 }), makeSample({ workspace: 'voss', endedAtMs: 30 }), makeSample({ workspace: 'voss', outcome: 'failed' })]
-    const measures = computeMeasures({ ...base, samples })
+    const measures = computeMeasures({ ...baseInput, samples })
     expect(measures.worstP99Ms).to.be.closeTo(30, 0.1)
     expect(measures.meanP99Ms).to.be.closeTo(20, 0.1)
     expect(measures.worstSuccess).to.equal(0.5)
@@ -68,8 +68,8 @@
       makeSample({ kind: 'write', startedAtMs: 140, endedAtMs: 900, outcome: 'unknown' }),
       makeSample({ kind: 'write', startedAtMs: 700, endedAtMs: 800 })
     ]
-    const losses = [{ database: 'orders', atMs: 100 }, { database: 'other', atMs: 100 }]
-    expect(computeMeasures({ ...base, samples, losses }).failoverGaps.map(g => g.gapMs)).to.deep.equal([700, null])
+    const primaryFailures = [{ database: 'orders', atMs: 100 }, { database: 'other', atMs: 100 }]
+    expect(computeMeasures({ ...baseInput, samples, primaryFailures }).failoverGaps.map(g => g.gapMs)).to.deep.equal([700, null])
   })
 })
 
--- a/packages/load/src/measures/read-counter.ts
+++ b/packages/load/src/measures/read-counter.ts
@@ -3,7 +3,7 @@
 import { isWorkloadRead } from '../workload/statements.ts'
 import type { ReadCount } from './compute-measures.ts'
 
-const POLL_INTERVAL_MS = 250
+const ROLE_POLL_INTERVAL_MS = 250
 
 interface EndpointState { status: { role: string, term: number } }
 interface EndpointRecord { statements: Array<{ text: string, term: number }> }
@@ -13,8 +13,8 @@
   readonly #endpoints: readonly FleetEndpoint[]
   readonly #isRead: (text: string) => boolean
   /** Primary by database and term. */
-  readonly #primaries = new Map<string, string>()
-  readonly #records = new Map<string, EndpointRecord>()
+  readonly #primaryByTerm = new Map<string, string>()
+  readonly #recordByEndpoint = new Map<string, EndpointRecord>()
   #timer: NodeJS.Timeout | null = null
 
   constructor (endpoints: readonly FleetEndpoint[], isRead: (text: string) => boolean = isWorkloadRead) {
@@ -23,7 +23,7 @@
   }
 
   start (): void {
-    this.#timer = setInterval(() => { this.#pollRoles() }, POLL_INTERVAL_MS)
+    this.#timer = setInterval(() => { this.#pollRoles() }, ROLE_POLL_INTERVAL_MS)
   }
 
   stop (): void {
@@ -31,19 +31,19 @@
   }
 
   /** Keeps what an endpoint has recorded, before it is killed. */
-  async recordStatements (endpoint: FleetEndpoint): Promise<void> {
+  async saveStatements (endpoint: FleetEndpoint): Promise<void> {
     const record = await readJson<EndpointRecord>(`${endpoint.controlUrl}/record`)
-    if (record !== null) this.#records.set(endpoint.endpoint, record)
+    if (record !== null) this.#recordByEndpoint.set(endpoint.endpoint, record)
   }
 
   async countReads (): Promise<ReadCount> {
     await this.#pollRoles()
-    await Promise.all(this.#endpoints.map(async e => await this.recordStatements(e)))
+    await Promise.all(this.#endpoints.map(async e => await this.saveStatements(e)))
     const count: ReadCount = { primary: 0, replica: 0 }
     for (const e of this.#endpoints) {
-      for (const s of this.#records.get(e.endpoint)?.statements ?? []) {
+      for (const s of this.#recordByEndpoint.get(e.endpoint)?.statements ?? []) {
         if (!this.#isRead(s.text)) continue
-        if (this.#primaries.get(`${e.database}/${s.term}`) === e.endpoint) count.primary += 1
+        if (this.#primaryByTerm.get(`${e.database}/${s.term}`) === e.endpoint) count.primary += 1
         else count.replica += 1
       }
     }
@@ -53,7 +53,7 @@
   async #pollRoles (): Promise<void> {
     await Promise.all(this.#endpoints.map(async e => {
       const state = await readJson<EndpointState>(`${e.controlUrl}/state`)
-      if (state?.status.role === 'primary') this.#primaries.set(`${e.database}/${state.status.term}`, e.endpoint)
+      if (state?.status.role === 'primary') this.#primaryByTerm.set(`${e.database}/${state.status.term}`, e.endpoint)
     }))
   }
 }
--- a/packages/load/src/measures/reference-bucket.ts
+++ b/packages/load/src/measures/reference-bucket.ts
@@ -12,12 +12,12 @@
  * @returns the samples within the rate
  */
 export function selectWithinRate (samples: readonly Sample[], rate: ReferenceRate): Sample[] {
-  const ordered = [...samples].sort((a, b) => a.startedAtMs - b.startedAtMs)
+  const samplesByStart = [...samples].sort((a, b) => a.startedAtMs - b.startedAtMs)
   let tokens = rate.burst
-  let lastMs = ordered[0]?.startedAtMs ?? 0
-  return ordered.filter(s => {
-    tokens = Math.min(rate.burst, tokens + (s.startedAtMs - lastMs) * rate.statementsPerSecond / 1_000)
-    lastMs = s.startedAtMs
+  let lastStartedAtMs = samplesByStart[0]?.startedAtMs ?? 0
+  return samplesByStart.filter(s => {
+    tokens = Math.min(rate.burst, tokens + (s.startedAtMs - lastStartedAtMs) * rate.statementsPerSecond / 1_000)
+    lastStartedAtMs = s.startedAtMs
     if (tokens < s.statements) return false
     tokens -= s.statements
     return true
--- a/packages/load/src/measures/time-series.ts
+++ b/packages/load/src/measures/time-series.ts
@@ -1,7 +1,7 @@
-import { createHistogram } from './compute-measures.ts'
+import { createLatencyHistogram } from './compute-measures.ts'
 import type { Sample } from './sample.ts'
 
-const BUCKET_MS = 500
+const BUCKET_DURATION_MS = 500
 
 /** Values over time, one per half second; rates are per second. */
 export interface TimeSeries {
@@ -15,17 +15,17 @@
 
 /** Groups samples by the time at which they ended. */
 export function createTimeSeries (samples: readonly Sample[], durationMs: number): TimeSeries {
-  const buckets = Array.from({ length: Math.ceil(durationMs / BUCKET_MS) }, () => [] as Sample[])
-  for (const s of samples) buckets[Math.floor(s.endedAtMs / BUCKET_MS)]?.push(s)
-  const countRate = (list: Sample[], outcomes: Array<Sample['outcome']>) => list.filter(s => outcomes.includes(s.outcome)).length * 1_000 / BUCKET_MS
+  const buckets = Array.from({ length: Math.ceil(durationMs / BUCKET_DURATION_MS) }, () => [] as Sample[])
+  for (const s of samples) buckets[Math.floor(s.endedAtMs / BUCKET_DURATION_MS)]?.push(s)
+  const computeRatePerSecond = (list: Sample[], outcomes: Array<Sample['outcome']>) => list.filter(s => outcomes.includes(s.outcome)).length * 1_000 / BUCKET_DURATION_MS
   return {
-    seconds: buckets.map((_, i) => (i + 1) * BUCKET_MS / 1_000),
-    ok: buckets.map(b => countRate(b, ['ok'])),
-    refused: buckets.map(b => countRate(b, ['limited', 'refused'])),
-    failed: buckets.map(b => countRate(b, ['unknown', 'failed'])),
+    seconds: buckets.map((_, i) => (i + 1) * BUCKET_DURATION_MS / 1_000),
+    ok: buckets.map(b => computeRatePerSecond(b, ['ok'])),
+    refused: buckets.map(b => computeRatePerSecond(b, ['limited', 'refused'])),
+    failed: buckets.map(b => computeRatePerSecond(b, ['unknown', 'failed'])),
     p99Ms: buckets.map(b => {
-      const succeeded = b.filter(s => s.outcome === 'ok')
-      return succeeded.length === 0 ? null : createHistogram(succeeded).getValueAtPercentile(99) / 1_000
+      const succeededSamples = b.filter(s => s.outcome === 'ok')
+      return succeededSamples.length === 0 ? null : createLatencyHistogram(succeededSamples).getValueAtPercentile(99) / 1_000
     })
   }
 }
--- a/packages/load/src/scenarios/run-scenario.ts
+++ b/packages/load/src/scenarios/run-scenario.ts
@@ -3,7 +3,7 @@
 import { createWorkspace, openCaller } from '../demo/callers.ts'
 import { ExperimentError } from '../experiment/errors.ts'
 import type { Fault } from '../experiment/schema.ts'
-import { runFault } from '../faults/run-fault.ts'
+import { injectFault } from '../faults/run-fault.ts'
 import { startFleet, type Fleet } from '../fleet/start-fleet.ts'
 import { ReadCounter } from '../measures/read-counter.ts'
 import { ENTRIES_TABLE, NONCE_PREFIX, PAIRS_TABLE, runScenarioClient } from './caller.ts'
@@ -124,7 +124,7 @@
 
 async function attemptFault ({ fleet, reads, scenario, skippedFaults }: ScenarioRun, fault: Fault): Promise<void> {
   try {
-    await runFault(fleet, fault, reads)
+    await injectFault(fleet, fault, reads)
   } catch (error) {
     if (scenario.expect.allFaults || !(error instanceof ExperimentError)) throw error
     skippedFaults.push(`${fault.kind} at ${fault.atMs} ms: ${error.message}`)
