--- a/packages/load/src/experiment/presets.ts
+++ b/packages/load/src/experiment/presets.ts
@@ -3,7 +3,7 @@
 const DURATION_MS = 20_000
 const WARMUP_MS = 4_000
 const FAILOVER_AT_MS = 8_000
-const CALLER_TIMEOUT_MS = 5_000
+const CLIENT_TIMEOUT_MS = 5_000
 
 /** Two large and six small members that share the databases. */
 function createWorkspaces (names: readonly string[]): WorkspaceLoad[] {
@@ -31,7 +31,7 @@
     statementDelayMs: 2
   },
   workspaces: createWorkspaces(['bergen', 'oslo', 'hamar', 'larvik', 'molde', 'narvik', 'tromso', 'voss']),
-  load: { loop: 'open', thinkTimeMs: 0, mix: { read: 80, write: 15, transaction: 5 }, operationsPerVm: 20, maxAgeMs: 0, timeoutMs: CALLER_TIMEOUT_MS },
+  load: { loop: 'open', thinkTimeMs: 0, mix: { read: 80, write: 15, transaction: 5 }, operationsPerVm: 20, maxAgeMs: 0, timeoutMs: CLIENT_TIMEOUT_MS },
   durationMs: DURATION_MS,
   warmupMs: WARMUP_MS,
   seed: 1,
--- a/packages/load/src/experiment/read-experiment.ts
+++ b/packages/load/src/experiment/read-experiment.ts
@@ -3,7 +3,7 @@
 import { presetNames, presets } from './presets.ts'
 import { experimentSchema, type Experiment } from './schema.ts'
 
-const partSchema = z.looseObject({
+const partialExperimentSchema = z.looseObject({
   preset: z.enum(presetNames).optional(),
   fleet: z.looseObject({}).optional(),
   load: z.looseObject({}).optional()
@@ -16,11 +16,11 @@
  * @example checkExperiment({ preset: 'fjordlakk', durationMs: 5_000 }, 'night.json')
  */
 export function checkExperiment (value: unknown, source: string): Experiment {
-  const { preset, ...own } = checkSettings(value, partSchema, source)
-  const base = preset === undefined ? {} : presets[preset]
-  const fleet = preset === undefined ? own.fleet : { ...presets[preset].fleet, ...own.fleet }
-  const load = preset === undefined ? own.load : { ...presets[preset].load, ...own.load }
-  const experiment = checkSettings({ ...base, ...own, fleet, load }, experimentSchema, source)
+  const { preset, ...overrides } = checkSettings(value, partialExperimentSchema, source)
+  const presetFields = preset === undefined ? {} : presets[preset]
+  const fleet = preset === undefined ? overrides.fleet : { ...presets[preset].fleet, ...overrides.fleet }
+  const load = preset === undefined ? overrides.load : { ...presets[preset].load, ...overrides.load }
+  const experiment = checkSettings({ ...presetFields, ...overrides, fleet, load }, experimentSchema, source)
   checkReferences(experiment, source)
   return experiment
 }
--- a/packages/load/src/experiment/run-experiment.ts
+++ b/packages/load/src/experiment/run-experiment.ts
@@ -9,19 +9,19 @@
 import { ReadCounter } from '../measures/read-counter.ts'
 import type { Sample } from '../measures/sample.ts'
 import { createTimeSeries, type TimeSeries } from '../measures/time-series.ts'
-import { runCaller } from '../workload/caller.ts'
+import { runClient } from '../workload/caller.ts'
 import { ProxyTarget } from '../workload/proxy-target.ts'
 import type { LoadTarget } from '../workload/session.ts'
-import { schemaStatements, WORKLOAD_TABLE } from '../workload/statements.ts'
+import { createTableStatements, WORKLOAD_TABLE } from '../workload/statements.ts'
 import { ExperimentError } from './errors.ts'
 import type { Experiment, Fault } from './schema.ts'
 
 const SETUP_TIMEOUT_MS = 20_000
-const RETRY_MS = 200
+const RETRY_DELAY_MS = 200
 /** Lets rates and pools come to rest between the set-up and the run. */
-const SETTLE_MS = 3_000
+const SETTLE_TIME_MS = 3_000
 const VERIFY_TIMEOUT_MS = 15_000
-const SLOWEST_COUNT = 20
+const SLOWEST_SAMPLE_COUNT = 20
 const PROGRESS_INTERVAL_MS = 1_000
 
 export type SystemName = 'camphorpitch' | 'baseline'
@@ -43,7 +43,7 @@
   onProgress?: (elapsedMs: number, samples: readonly Sample[]) => void
 }
 
-interface Run {
+interface ExperimentRun {
   experiment: Experiment
   fleet: Fleet
   target: LoadTarget
@@ -52,7 +52,7 @@
   /** Acknowledged ids by database. */
   acknowledged: Map<string, string[]>
   staleReads: string[]
-  losses: PrimaryFailure[]
+  primaryFailures: PrimaryFailure[]
   failedFaults: string[]
 }
 
@@ -66,21 +66,21 @@
   const { vms, databases, instancesPerDatabase, ...endpoint } = experiment.fleet
   const isBaseline = options.system === 'baseline'
   const fleet = await startFleet({ vms: isBaseline ? 0 : vms, databases, instancesPerDatabase, endpoint: { ...endpoint, seed: experiment.seed } })
-  let naive: NaiveTarget | null = null
+  let baselineTarget: NaiveTarget | null = null
   try {
-    naive = isBaseline ? new NaiveTarget(experiment, fleet.endpoints) : null
-    const run = createRun(experiment, fleet, naive ?? await createProxyTarget(experiment, fleet))
+    baselineTarget = isBaseline ? new NaiveTarget(experiment, fleet.endpoints) : null
+    const run = createRun(experiment, fleet, baselineTarget ?? await createProxyTarget(experiment, fleet))
     await createTables(run)
-    await wait(SETTLE_MS)
+    await wait(SETTLE_TIME_MS)
     await runLoad(run, options)
     return await describeRun(run, options.system)
   } finally {
-    await naive?.close()
+    await baselineTarget?.close()
     await fleet.stop()
   }
 }
 
-function createRun (experiment: Experiment, fleet: Fleet, target: LoadTarget): Run {
+function createRun (experiment: Experiment, fleet: Fleet, target: LoadTarget): ExperimentRun {
   return {
     experiment,
     fleet,
@@ -89,7 +89,7 @@
     samples: [],
     acknowledged: new Map(experiment.fleet.databases.map(d => [d, []])),
     staleReads: [],
-    losses: [],
+    primaryFailures: [],
     failedFaults: []
   }
 }
@@ -103,82 +103,82 @@
   return new ProxyTarget(fleet, keys)
 }
 
-async function createTables (run: Run): Promise<void> {
+async function createTables (run: ExperimentRun): Promise<void> {
   for (const database of run.experiment.fleet.databases) {
-    for (const text of schemaStatements) {
-      const isDone = await retryStatement(run, database, text, SETUP_TIMEOUT_MS)
-      if (isDone.error !== null) throw new ExperimentError(`${database} takes no writes: ${isDone.error}`)
+    for (const text of createTableStatements) {
+      const result = await retryStatement(run, database, text, SETUP_TIMEOUT_MS)
+      if (result.error !== null) throw new ExperimentError(`${database} takes no writes: ${result.error}`)
     }
   }
 }
 
 /** Runs a statement in a new session until it succeeds or time is over. */
-async function retryStatement ({ target, experiment }: Run, database: string, text: string, timeoutMs: number): Promise<{ value: string | null, error: string | null }> {
-  const endsAt = performance.now() + timeoutMs
+async function retryStatement ({ target, experiment }: ExperimentRun, database: string, text: string, timeoutMs: number): Promise<{ value: string | null, error: string | null }> {
+  const deadlineMs = performance.now() + timeoutMs
   for (let vmIndex = 0; ; vmIndex++) {
     try {
       const session = await target.openSession({ workspace: experiment.workspaces[0]!.workspace, database, vmIndex, timeoutMs: SETUP_TIMEOUT_MS })
       const value = await session.run(text).finally(() => session.close())
       return { value, error: null }
     } catch (error) {
-      if (performance.now() > endsAt) return { value: null, error: describeError(error) }
-      await wait(RETRY_MS)
+      if (performance.now() > deadlineMs) return { value: null, error: describeError(error) }
+      await wait(RETRY_DELAY_MS)
     }
   }
 }
 
-async function runLoad (run: Run, { onProgress }: RunOptions): Promise<void> {
+async function runLoad (run: ExperimentRun, { onProgress }: RunOptions): Promise<void> {
   const { experiment, samples } = run
-  const startedAt = performance.now()
-  const readNow = () => performance.now() - startedAt
+  const startedAtMs = performance.now()
+  const readElapsedMs = () => performance.now() - startedAtMs
   const random = createSeededRandom(experiment.seed)
-  const timers = experiment.faults.map(fault => setTimeout(() => { startFault(run, fault, readNow) }, fault.atMs))
-  const progress = setInterval(() => onProgress?.(readNow(), samples), PROGRESS_INTERVAL_MS)
+  const faultTimers = experiment.faults.map(fault => setTimeout(() => { attemptFault(run, fault, readElapsedMs) }, fault.atMs))
+  const progressTimer = setInterval(() => onProgress?.(readElapsedMs(), samples), PROGRESS_INTERVAL_MS)
   run.reads.start()
-  const specs = experiment.workspaces.flatMap(workspace => Array.from({ length: workspace.callers }, () => workspace))
-  await Promise.all(specs.map(async (workspace, index) => await runCaller({
+  const clientWorkspaces = experiment.workspaces.flatMap(workspace => Array.from({ length: workspace.callers }, () => workspace))
+  await Promise.all(clientWorkspaces.map(async (workspace, index) => await runClient({
     target: run.target,
     experiment,
     workspace,
     index,
     random: createSeededRandom(Math.floor(random() * 2 ** 31)),
-    readNow,
+    readElapsedMs,
     recordSample: sample => samples.push(sample),
     recordWrite: (id, database) => run.acknowledged.get(database)!.push(id),
     recordStaleRead: id => run.staleReads.push(id)
   })))
-  for (const t of timers) clearTimeout(t)
-  clearInterval(progress)
+  for (const t of faultTimers) clearTimeout(t)
+  clearInterval(progressTimer)
   run.reads.stop()
 }
 
-async function startFault (run: Run, fault: Fault, readNow: () => number): Promise<void> {
+async function attemptFault (run: ExperimentRun, fault: Fault, readElapsedMs: () => number): Promise<void> {
   try {
     await injectFault(run.fleet, fault, run.reads)
-    if (fault.kind === 'kill-primary' || fault.kind === 'freeze-primary') run.losses.push({ database: fault.database, atMs: readNow() })
+    if (fault.kind === 'kill-primary' || fault.kind === 'freeze-primary') run.primaryFailures.push({ database: fault.database, atMs: readElapsedMs() })
   } catch (error) {
     run.failedFaults.push(`${fault.kind} at ${fault.atMs} ms: ${String(error)}`)
   }
 }
 
-async function describeRun (run: Run, system: SystemName): Promise<RunResult> {
-  const { experiment, samples, losses, failedFaults } = run
+async function describeRun (run: ExperimentRun, system: SystemName): Promise<RunResult> {
+  const { experiment, samples, primaryFailures, failedFaults } = run
   const { durationMs, warmupMs, workspaces } = experiment
   const reads = await run.reads.countReads()
-  const stored = new Map<string, string[] | null>()
-  for (const database of experiment.fleet.databases) stored.set(database, await readStored(run, database))
+  const storedByDatabase = new Map<string, string[] | null>()
+  for (const database of experiment.fleet.databases) storedByDatabase.set(database, await readStoredIds(run, database))
   const rates = new Map(workspaces.map(w => [w.workspace, w.rate]))
   return {
     system,
-    measures: computeMeasures({ samples, rates, reads, primaryFailures: losses, durationMs, warmupMs }),
-    integrity: checkIntegrity(run.acknowledged, stored, run.staleReads.length),
+    measures: computeMeasures({ samples, rates, reads, primaryFailures, durationMs, warmupMs }),
+    integrity: checkIntegrity(run.acknowledged, storedByDatabase, run.staleReads.length),
     series: createTimeSeries(samples, durationMs),
-    slowest: selectSlowest(samples, SLOWEST_COUNT),
+    slowest: selectSlowest(samples, SLOWEST_SAMPLE_COUNT),
     failedFaults
   }
 }
 
-async function readStored (run: Run, database: string): Promise<string[] | null> {
+async function readStoredIds (run: ExperimentRun, database: string): Promise<string[] | null> {
   const { value, error } = await retryStatement(run, database, `SELECT COALESCE(GROUP_CONCAT(id), '') FROM ${WORKLOAD_TABLE}`, VERIFY_TIMEOUT_MS)
   if (error !== null || value === null) return null
   return value === '' ? [] : value.split(',')
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -16,11 +16,11 @@
 
 /** Seeds that are not given are drawn below this one. */
 const SEED_RANGE = 1_000_000
-const countSchema = z.coerce.number().int().nonnegative()
+const wholeNumberSchema = z.coerce.number().int().nonnegative()
 
 /** @throws UsageError unless the text is a whole number from 0 */
-function parseCount (text: string, option: string): number {
-  const parsed = countSchema.safeParse(text)
+function parseWholeNumber (text: string, option: string): number {
+  const parsed = wholeNumberSchema.safeParse(text)
   if (!parsed.success) throw new UsageError(`${option}: expected a whole number from 0, got ${text}`)
   return parsed.data
 }
@@ -50,7 +50,7 @@
     for (const r of results) this.context.stdout.write(formatReasons(r))
     if (this.json !== undefined) writeFileSync(this.json, JSON.stringify({ experiment, results }, null, 2))
     if (this.html !== undefined) writeFileSync(this.html, formatHtml(experiment, results))
-    return hasHeld(results[0]!) ? 0 : 1
+    return hasIntegrity(results[0]!) ? 0 : 1
   }
 }
 
@@ -65,7 +65,7 @@
   return [...lines, ...failedFaults.map(f => `${system}: fault not brought about: ${f}\n`)].join('')
 }
 
-function hasHeld ({ integrity }: RunResult): boolean {
+function hasIntegrity ({ integrity }: RunResult): boolean {
   return integrity.lostWrites === 0 && integrity.doubledWrites === 0 && integrity.staleReads === 0
 }
 
@@ -105,19 +105,19 @@
 
   override async execute (): Promise<number> {
     handleInterrupt()
-    const first = this.from === undefined ? Date.now() % SEED_RANGE : parseCount(this.from, '--from')
-    const count = parseCount(this.seeds, '--seeds')
-    let broken = 0
+    const first = this.from === undefined ? Date.now() % SEED_RANGE : parseWholeNumber(this.from, '--from')
+    const count = parseWholeNumber(this.seeds, '--seeds')
+    let brokenSeeds = 0
     for (let seed = first; seed < first + count; seed++) {
       const scenario = drawScenario(seed)
       const { violations, failures, ...counts } = await runScenario(scenario)
       this.context.stdout.write(`seed ${seed}: ${JSON.stringify({ ...counts, failures: failures.length, violations })}\n`)
       if (violations.length === 0 && counts.acknowledged > 0) continue
-      broken++
+      brokenSeeds++
       this.context.stdout.write(`${JSON.stringify(scenario)}\n`)
     }
-    this.context.stdout.write(`${count} seeds from ${first}: ${broken} broken\n`)
-    return broken > 0 ? 1 : 0
+    this.context.stdout.write(`${count} seeds from ${first}: ${brokenSeeds} broken\n`)
+    return brokenSeeds > 0 ? 1 : 0
   }
 }
 
--- a/packages/load/src/report/format-table.ts
+++ b/packages/load/src/report/format-table.ts
@@ -1,6 +1,6 @@
 import type { RunResult } from '../experiment/run-experiment.ts'
 
-function formatShare (value: number | null): string {
+function formatPercent (value: number | null): string {
   return value === null ? 'no reads' : `${(value * 100).toFixed(2)}%`
 }
 
@@ -12,17 +12,17 @@
   return value === null ? 'not checked' : String(value)
 }
 
-interface Line {
+interface MeasureRow {
   label: string
   format: (result: RunResult) => string
 }
 
-const lines: Line[] = [
-  { label: 'reads served by replicas', format: r => formatShare(r.measures.replicaReadShare) },
+const measureRows: MeasureRow[] = [
+  { label: 'reads served by replicas', format: r => formatPercent(r.measures.replicaReadShare) },
   { label: 'failover gap', format: r => r.measures.failoverGaps.map(g => `${g.database} ${formatMs(g.gapMs)}`).join(', ') || 'no failover' },
   { label: 'worst-served p99 (mean)', format: r => `${formatMs(r.measures.worstP99Ms)} (${formatMs(r.measures.meanP99Ms)})` },
-  { label: 'worst-served success (mean)', format: r => `${formatShare(r.measures.worstSuccess)} (${formatShare(r.measures.meanSuccess)})` },
-  { label: 'refused although within the rate', format: r => `${r.measures.wrongfullyRefused} (${formatShare(r.measures.wrongfullyRefusedShare)})` },
+  { label: 'worst-served success (mean)', format: r => `${formatPercent(r.measures.worstSuccess)} (${formatPercent(r.measures.meanSuccess)})` },
+  { label: 'refused although within the rate', format: r => `${r.measures.wrongfullyRefused} (${formatPercent(r.measures.wrongfullyRefusedShare)})` },
   { label: 'operations per second', format: r => r.measures.operationsPerSecond.toFixed(1) },
   { label: 'acknowledged writes', format: r => String(r.integrity.acknowledgedWrites) },
   { label: 'lost writes', format: r => formatCount(r.integrity.lostWrites) },
@@ -32,7 +32,7 @@
 
 /** Rows of label and one value for each system. */
 export function listRows (results: readonly RunResult[]): string[][] {
-  return lines.map(({ label, format }) => [label, ...results.map(format)])
+  return measureRows.map(({ label, format }) => [label, ...results.map(format)])
 }
 
 /** The measures as a plain text table, one column for each system. */
--- a/packages/load/src/workload/caller.ts
+++ b/packages/load/src/workload/caller.ts
@@ -1,14 +1,14 @@
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Experiment, WorkspaceLoad } from '../experiment/schema.ts'
 import type { OperationKind, Sample } from '../measures/sample.ts'
-import { classifyError, type ErrorClass } from './classify-error.ts'
+import { classifyError, type ClassifiedError } from './classify-error.ts'
 import type { CallerSession, LoadTarget } from './session.ts'
 import { formatInsert, formatRead, formatUpdate } from './statements.ts'
 
 /** Wait before a lost connection is opened again. */
-const RECONNECT_MS = 100
+const RECONNECT_DELAY_MS = 100
 
-export interface CallerOptions {
+export interface ClientOptions {
   target: LoadTarget
   experiment: Experiment
   workspace: WorkspaceLoad
@@ -16,7 +16,7 @@
   index: number
   random: () => number
   /** Milliseconds since the run began. */
-  readNow: () => number
+  readElapsedMs: () => number
   recordSample: (sample: Sample) => void
   /** Called with the id and database of each acknowledged insert. */
   recordWrite: (id: string, database: string) => void
@@ -24,56 +24,56 @@
   recordStaleRead: (id: string) => void
 }
 
-interface CallerState {
+interface ClientState {
   session: CallerSession | null
-  written: { id: string, quantity: number } | null
+  lastWrite: { id: string, quantity: number } | null
   operations: number
 }
 
 /** Runs one caller until the experiment ends: one operation at a time, on one database. */
-export async function runCaller (options: CallerOptions): Promise<void> {
-  const { experiment, readNow } = options
-  const state: CallerState = { session: null, written: null, operations: 0 }
-  let dueAtMs = computeNextDue(options, 0)
+export async function runClient (options: ClientOptions): Promise<void> {
+  const { experiment, readElapsedMs } = options
+  const state: ClientState = { session: null, lastWrite: null, operations: 0 }
+  let dueAtMs = computeNextDueAtMs(options, 0)
   while (dueAtMs < experiment.durationMs) {
-    await waitUntil(dueAtMs, readNow)
-    if (readNow() >= experiment.durationMs) break
+    await waitUntil(dueAtMs, readElapsedMs)
+    if (readElapsedMs() >= experiment.durationMs) break
     const error = await runOperation(options, state, dueAtMs)
-    dueAtMs = computeNextDue(options, dueAtMs)
-    if (error !== null && experiment.load.loop === 'closed') dueAtMs = Math.max(dueAtMs, readNow() + (error.retryAfterMs ?? RECONNECT_MS))
+    dueAtMs = computeNextDueAtMs(options, dueAtMs)
+    if (error !== null && experiment.load.loop === 'closed') dueAtMs = Math.max(dueAtMs, readElapsedMs() + (error.retryAfterMs ?? RECONNECT_DELAY_MS))
   }
   state.session?.close()
 }
 
 /** The open loop has exponential gaps between due times; the closed one waits after each answer. */
-function computeNextDue ({ experiment, workspace, random, readNow }: CallerOptions, lastDueMs: number): number {
+function computeNextDueAtMs ({ experiment, workspace, random, readElapsedMs }: ClientOptions, lastDueAtMs: number): number {
   const { loop, thinkTimeMs } = experiment.load
-  if (loop === 'closed') return readNow() + thinkTimeMs
+  if (loop === 'closed') return readElapsedMs() + thinkTimeMs
   const meanGapMs = 1_000 * workspace.callers / workspace.offeredPerSecond
-  return lastDueMs - Math.log(1 - random()) * meanGapMs
+  return lastDueAtMs - Math.log(1 - random()) * meanGapMs
 }
 
-async function waitUntil (dueAtMs: number, readNow: () => number): Promise<void> {
-  const leftMs = dueAtMs - readNow()
-  if (leftMs > 0) await wait(leftMs)
+async function waitUntil (dueAtMs: number, readElapsedMs: () => number): Promise<void> {
+  const remainingMs = dueAtMs - readElapsedMs()
+  if (remainingMs > 0) await wait(remainingMs)
 }
 
-function pickDatabase ({ experiment, index }: CallerOptions): string {
+function pickDatabase ({ experiment, index }: ClientOptions): string {
   const { databases } = experiment.fleet
   return databases[index % databases.length]!
 }
 
-function pickKind ({ experiment, random }: CallerOptions): OperationKind {
+function pickKind ({ experiment, random }: ClientOptions): OperationKind {
   const { read, write, transaction } = experiment.load.mix
   const point = random() * (read + write + transaction)
   if (point < read) return 'read'
   return point < read + write ? 'write' : 'transaction'
 }
 
-async function runOperation (options: CallerOptions, state: CallerState, dueAtMs: number): Promise<ErrorClass | null> {
-  const { workspace, readNow, recordSample } = options
+async function runOperation (options: ClientOptions, state: ClientState, dueAtMs: number): Promise<ClassifiedError | null> {
+  const { workspace, readElapsedMs, recordSample } = options
   const kind = pickKind(options)
-  const startedAtMs = readNow()
+  const startedAtMs = readElapsedMs()
   const counter = { statements: 0 }
   const error = await attemptOperation(options, state, kind, counter)
   recordSample({
@@ -83,19 +83,19 @@
     statements: Math.max(1, counter.statements),
     intendedAtMs: options.experiment.load.loop === 'open' ? dueAtMs : startedAtMs,
     startedAtMs,
-    endedAtMs: readNow(),
+    endedAtMs: readElapsedMs(),
     outcome: error?.outcome ?? 'ok',
     reason: error?.reason ?? ''
   })
   return error
 }
 
-async function attemptOperation (options: CallerOptions, state: CallerState, kind: OperationKind, counter: { statements: number }): Promise<ErrorClass | null> {
-  let hasSent = false
+async function attemptOperation (options: ClientOptions, state: ClientState, kind: OperationKind, counter: { statements: number }): Promise<ClassifiedError | null> {
+  let hasSentStatement = false
   try {
-    const session = await openSessionForOperation(options, state)
+    const session = await ensureSession(options, state)
     const run = async (text: string) => {
-      hasSent = true
+      hasSentStatement = true
       counter.statements += 1
       return await session.run(text)
     }
@@ -103,12 +103,12 @@
     else await runWrite(options, state, run, kind === 'transaction')
     return null
   } catch (error) {
-    return await handleError(state, error, hasSent)
+    return await handleError(state, error, hasSentStatement)
   }
 }
 
 /** Opens the session, or moves it after its share of operations on one VM. */
-async function openSessionForOperation (options: CallerOptions, state: CallerState): Promise<CallerSession> {
+async function ensureSession (options: ClientOptions, state: ClientState): Promise<CallerSession> {
   const { target, workspace, index, experiment } = options
   const { operationsPerVm } = experiment.load
   state.operations += 1
@@ -121,19 +121,19 @@
   return state.session
 }
 
-type Run = (text: string) => Promise<string | null>
+type RunStatement = (text: string) => Promise<string | null>
 
-async function runRead ({ recordStaleRead, experiment }: CallerOptions, state: CallerState, run: Run): Promise<void> {
-  const { written } = state
-  const value = await run(formatRead(written?.id ?? 'none'))
-  if (written !== null && experiment.load.maxAgeMs === 0 && value !== String(written.quantity)) recordStaleRead(written.id)
+async function runRead ({ recordStaleRead, experiment }: ClientOptions, state: ClientState, run: RunStatement): Promise<void> {
+  const { lastWrite } = state
+  const value = await run(formatRead(lastWrite?.id ?? 'none'))
+  if (lastWrite !== null && experiment.load.maxAgeMs === 0 && value !== String(lastWrite.quantity)) recordStaleRead(lastWrite.id)
 }
 
-async function runWrite (options: CallerOptions, state: CallerState, run: Run, inTransaction: boolean): Promise<void> {
+async function runWrite (options: ClientOptions, state: ClientState, run: RunStatement, isTransaction: boolean): Promise<void> {
   const { workspace, index, recordWrite } = options
   const id = `${workspace.workspace}-${index}-${state.operations}`
   const insert = formatInsert(id, workspace.workspace, state.operations)
-  if (inTransaction) {
+  if (isTransaction) {
     await run('BEGIN')
     await run(insert)
     await run(formatUpdate(id, state.operations))
@@ -141,20 +141,20 @@
   } else {
     await run(insert)
   }
-  state.written = { id, quantity: state.operations }
+  state.lastWrite = { id, quantity: state.operations }
   recordWrite(id, pickDatabase(options))
 }
 
 /** A session in doubt is given up, so that no half-done transaction goes on; a new one starts from the primary. */
-async function handleError (state: CallerState, error: unknown, hasSent: boolean): Promise<ErrorClass> {
-  const described = classifyError(error)
-  if (!hasSent && described.outcome === 'unknown') described.outcome = 'failed'
-  if (described.isConnectionLost || !hasSent) {
+async function handleError (state: ClientState, error: unknown, hasSentStatement: boolean): Promise<ClassifiedError> {
+  const classified = classifyError(error)
+  if (!hasSentStatement && classified.outcome === 'unknown') classified.outcome = 'failed'
+  if (classified.isConnectionLost || !hasSentStatement) {
     state.session?.close()
     state.session = null
-    await wait(RECONNECT_MS)
+    await wait(RECONNECT_DELAY_MS)
   } else {
     await state.session?.run('ROLLBACK').catch(() => {})
   }
-  return described
+  return classified
 }
--- a/packages/load/src/workload/classify-error.ts
+++ b/packages/load/src/workload/classify-error.ts
@@ -1,7 +1,7 @@
 import { parseRetryAfterMs, RefusalCode } from '@camphorpitch/wire'
 import type { Outcome } from '../measures/sample.ts'
 
-export interface ErrorClass {
+export interface ClassifiedError {
   outcome: Exclude<Outcome, 'ok'>
   reason: string
   retryAfterMs: number | null
@@ -15,21 +15,21 @@
   message?: unknown
 }
 
-const LIMIT_REASON = /rate|limit/i
+const limitReasonPattern = /rate|limit/i
 /** Errors with a number of the protocol arrive on a connection that lives on. */
-const MIN_ERRNO = 1_000
+const MIN_MYSQL_ERRNO = 1_000
 
 /** Classifies the error of a statement by what its caller may conclude. */
-export function classifyError (error: unknown): ErrorClass {
+export function classifyError (error: unknown): ClassifiedError {
   const { errno, code, message } = (error ?? {}) as MysqlError
   const text = String(message ?? error)
   const retryAfterMs = parseRetryAfterMs(text)
   const reason = text.replace(/; retry after \d+ ms$/, '').replace(/^camphorpitch: /, '')
-  if (typeof errno !== 'number' || errno < MIN_ERRNO) {
+  if (typeof errno !== 'number' || errno < MIN_MYSQL_ERRNO) {
     return { outcome: 'unknown', reason: `connection: ${String(code ?? text)}`, retryAfterMs: null, isConnectionLost: true }
   }
   if (errno === RefusalCode.notRunRetry) {
-    return { outcome: LIMIT_REASON.test(reason) ? 'limited' : 'refused', reason, retryAfterMs, isConnectionLost: false }
+    return { outcome: limitReasonPattern.test(reason) ? 'limited' : 'refused', reason, retryAfterMs, isConnectionLost: false }
   }
   const outcome = errno === RefusalCode.notRunDenied || errno === RefusalCode.transactionLost
     ? 'refused'
--- a/packages/load/src/workload/proxy-target.ts
+++ b/packages/load/src/workload/proxy-target.ts
@@ -48,12 +48,12 @@
     const connection = await createConnection({ host: this.#fleet.host, port: vm.callersPort, user: workspace, password: this.#key, database, connectTimeout: CONNECT_TIMEOUT_MS })
     connection.on('error', () => {})
     this.#connection = connection
-    if (this.#token !== null) await readFirst(connection, `SET @camphorpitch_session = '${this.#token}'`, this.#options.timeoutMs)
+    if (this.#token !== null) await readFirstColumn(connection, `SET @camphorpitch_session = '${this.#token}'`, this.#options.timeoutMs)
   }
 
   override async run (text: string): Promise<string | null> {
     if (this.#connection === null) await this.open()
-    return await readFirst(this.#connection!, text, this.#options.timeoutMs)
+    return await readFirstColumn(this.#connection!, text, this.#options.timeoutMs)
   }
 
   override async move (): Promise<void> {
@@ -70,11 +70,11 @@
 
   async #readToken (): Promise<void> {
     if (this.#connection === null) return
-    this.#token = await readFirst(this.#connection, 'SELECT @camphorpitch_session', this.#options.timeoutMs).catch(() => this.#token)
+    this.#token = await readFirstColumn(this.#connection, 'SELECT @camphorpitch_session', this.#options.timeoutMs).catch(() => this.#token)
   }
 }
 
-async function readFirst (connection: Connection, sql: string, timeout: number): Promise<string | null> {
+async function readFirstColumn (connection: Connection, sql: string, timeout: number): Promise<string | null> {
   const [rows] = await connection.query({ sql, timeout })
   if (!Array.isArray(rows)) return null
   const first = (rows as RowDataPacket[])[0]
--- a/packages/load/src/workload/statements.ts
+++ b/packages/load/src/workload/statements.ts
@@ -1,7 +1,7 @@
 /** The table that operations work on; without a primary key, so that a doubled write shows. */
 export const WORKLOAD_TABLE = 'load_entries'
 
-export const schemaStatements = [
+export const createTableStatements = [
   `CREATE TABLE IF NOT EXISTS ${WORKLOAD_TABLE} (id VARCHAR(64), workspace VARCHAR(63), quantity INTEGER)`,
   `CREATE INDEX IF NOT EXISTS ${WORKLOAD_TABLE}_id ON ${WORKLOAD_TABLE} (id)`
 ]
