--- a/packages/load/src/scenarios/caller.ts
+++ b/packages/load/src/scenarios/caller.ts
@@ -6,7 +6,7 @@
 
 export const ENTRIES_TABLE = 'entries'
 export const PAIRS_TABLE = 'pairs'
-/** Begins the literal that each read asks back. */
+/** Prefix of the literal that each read selects, to check that the response belongs to the request. */
 export const NONCE_PREFIX = 'nonce-'
 
 const CONNECT_TIMEOUT_MS = 2_000
@@ -24,7 +24,7 @@
   index: number
   durationMs: number
   history: History
-  /** Milliseconds since the run began. */
+  /** @returns milliseconds since the run began */
   readElapsedMs: () => number
 }
 
@@ -33,15 +33,18 @@
   token: string | null
   vmIndex: number
   sequence: number
-  /** Own plain writes that were acknowledged in this session. */
+  /** Number of single-row writes of this client that were acknowledged. */
   acknowledged: number
-  /** Highest own sequence that this session has read. */
+  /** Highest `sequence` of this client's rows that this session has read. */
   highestReadSequence: number
 }
 
 interface MysqlError { errno?: number, message?: string }
 
-/** Runs one session that writes, reads and moves between VMs, and checks each answer. */
+/**
+ * Runs one client whose session writes, reads and moves between VMs until `durationMs` has passed.
+ * Checks each response, and records writes, errors and violations in `history`.
+ */
 export async function runScenarioClient (options: ScenarioClientOptions): Promise<void> {
   const state: ClientState = { connection: null, token: null, vmIndex: options.index, sequence: 0, acknowledged: 0, highestReadSequence: 0 }
   while (options.readElapsedMs() < options.durationMs) {
@@ -82,7 +85,10 @@
   }
 }
 
-/** Takes the session's token along; where that fails, the next VM starts from what was acknowledged. */
+/**
+ * Reads the session token, for the session to continue at the next VM, and closes the connection.
+ * If the token cannot be read, the next VM starts from what was acknowledged.
+ */
 async function disconnectFromVm (state: ClientState): Promise<void> {
   const rows = await state.connection?.query<RowDataPacket[]>('SELECT @camphorpitch_session').catch(() => undefined)
   const token = rows?.[0][0]
@@ -99,7 +105,7 @@
   return String((error as MysqlError).message ?? error)
 }
 
-/** What the caller may conclude from an error after a statement was sent. */
+/** @returns what the client may conclude about a write from the error of its statement */
 export function classifyWriteError (error: unknown): WriteOutcome {
   const { errno } = error as MysqlError
   if (errno === undefined || errno < MIN_MYSQL_ERRNO || errno === RefusalCode.outcomeUnknown) return 'unknown'
@@ -122,6 +128,7 @@
   return `INSERT INTO ${ENTRIES_TABLE} (id, caller, sequence) VALUES ('${id}', ${options.index}, ${sequence})`
 }
 
+/** Inserts one row without a request ID, and does not repeat it. */
 async function runPlainWrite (options: ScenarioClientOptions, state: ClientState, connection: Connection): Promise<void> {
   const id = `plain-${options.index}-${state.sequence}`
   try {
@@ -134,7 +141,7 @@
   }
 }
 
-/** A named write whose outcome is unknown is sent again under its name until its outcome is known. */
+/** Repeats a write under one request ID until it is acknowledged or the attempts are used up. */
 async function runWriteWithRequestId (options: ScenarioClientOptions, state: ClientState): Promise<void> {
   const id = `named-${options.index}-${state.sequence}`
   let reason = ''
@@ -156,6 +163,7 @@
   recordWrite(options, id, 1, outcome, outcome === 'acknowledged' ? '' : reason)
 }
 
+/** Inserts two rows in one transaction. Until `COMMIT` is sent, an error means that the transaction did not run. */
 async function runPairTransaction (options: ScenarioClientOptions, state: ClientState, connection: Connection): Promise<void> {
   const id = `pair-${options.index}-${state.sequence}`
   let isCommitting = false
@@ -183,7 +191,7 @@
     const row = rows[0] as { nonce: string, n: number, latest: number }
     checkRead(options, state, row, nonce, acknowledgedBeforeRead)
     const [incompletePairs] = await connection.query<RowDataPacket[]>(`SELECT id, count(*) AS n FROM ${PAIRS_TABLE} GROUP BY id HAVING count(*) <> 2`)
-    for (const pair of incompletePairs) options.history.violations.push({ promise: 'transactions are whole', detail: `a reader saw ${pair.n} rows of ${pair.id}` })
+    for (const pair of incompletePairs) options.history.violations.push({ promise: 'transactions are atomic', detail: `a reader saw ${pair.n} rows of ${pair.id}` })
     options.history.reads += 2
   } catch (error) {
     handleError(options, state, error)
@@ -192,8 +200,8 @@
 
 function checkRead (options: ScenarioClientOptions, state: ClientState, row: { nonce: string, n: number, latest: number }, nonce: string, acknowledged: number): void {
   const { violations } = options.history
-  if (row.nonce !== nonce) violations.push({ promise: 'answers reach their own request', detail: `${nonce} was answered with ${row.nonce}` })
-  if (Number(row.n) < acknowledged) violations.push({ promise: 'read your writes', detail: `caller ${options.index} read ${row.n} of ${acknowledged} acknowledged writes` })
-  if (Number(row.latest) < state.highestReadSequence) violations.push({ promise: 'monotonic reads', detail: `caller ${options.index} read up to ${row.latest} after ${state.highestReadSequence}` })
+  if (row.nonce !== nonce) violations.push({ promise: 'each response belongs to its request', detail: `the response to ${nonce} holds ${row.nonce}` })
+  if (Number(row.n) < acknowledged) violations.push({ promise: 'read your writes', detail: `client ${options.index} read ${row.n} of ${acknowledged} acknowledged writes` })
+  if (Number(row.latest) < state.highestReadSequence) violations.push({ promise: 'monotonic reads', detail: `client ${options.index} read up to sequence ${row.latest} after it had read up to ${state.highestReadSequence}` })
   state.highestReadSequence = Math.max(state.highestReadSequence, Number(row.latest))
 }
--- a/packages/load/src/scenarios/check-history.ts
+++ b/packages/load/src/scenarios/check-history.ts
@@ -1,10 +1,10 @@
 import type { History, Violation, WriteEvent } from './history.ts'
 
-/** Rows found after the run, by the id of their write. */
+/** Number of rows found after the run, by the ID of their write. */
 export type StoredRowCounts = ReadonlyMap<string, number>
 
 /**
- * Compares what callers were told with what the database holds in the end.
+ * Compares the outcome that clients saw of each write with the rows that the database holds after the run.
  *
  * @example checkWrites(history, new Map([['a', 1]])) // []
  */
@@ -14,14 +14,14 @@
 
 function checkWrite (write: WriteEvent, storedRows: number): Violation[] {
   const detail = `${write.id}: ${write.outcome}, ${storedRows} of ${write.rows} rows${write.reason === '' ? '' : `, ${write.reason}`}`
-  if (storedRows > write.rows) return [{ promise: 'no write is doubled', detail }]
-  if (storedRows > 0 && storedRows < write.rows) return [{ promise: 'transactions are whole', detail }]
+  if (storedRows > write.rows) return [{ promise: 'no write is applied twice', detail }]
+  if (storedRows > 0 && storedRows < write.rows) return [{ promise: 'transactions are atomic', detail }]
   if (write.outcome === 'acknowledged' && storedRows === 0) return [{ promise: 'no acknowledged write is lost', detail }]
-  if (write.outcome === 'not run' && storedRows > 0) return [{ promise: 'a refusal that says not run is true', detail }]
+  if (write.outcome === 'not run' && storedRows > 0) return [{ promise: 'a statement refused as not run has no effect', detail }]
   return []
 }
 
-/** Longest time between acknowledged writes, the beginning and end of the run included, in milliseconds. */
+/** @returns the longest time between acknowledged writes in milliseconds; the beginning and the end of the run count as writes */
 export function computeMaxWriteGapMs (history: History, durationMs: number): number {
   const times = history.writes.filter(w => w.outcome === 'acknowledged').map(w => w.endedAtMs).sort((a, b) => a - b)
   const bounds = [0, ...times, Math.max(durationMs, times.at(-1) ?? 0)]
--- a/packages/load/src/scenarios/draw-scenario.test.ts
+++ b/packages/load/src/scenarios/draw-scenario.test.ts
@@ -8,7 +8,7 @@
 import { scenarioSchema, type Scenario } from './schema.ts'
 
 const SCENARIO_TIMEOUT_MS = 120_000
-/** Seeds that are played with every test run. */
+/** Seeds whose scenarios run with the test suite. */
 const TEST_SEEDS = [1, 2]
 const failedScenarioDirectory = fileURLToPath(new URL('../../../../scenarios/soak/', import.meta.url))
 
@@ -19,17 +19,17 @@
 }
 
 describe('drawn scenarios', () => {
-  it('are the same for a seed, and differ between seeds', () => {
+  it('are equal for one seed and differ between seeds', () => {
     expect(drawScenario(7)).to.deep.equal(drawScenario(7))
     expect(drawScenario(7).faults).not.to.deep.equal(drawScenario(8).faults)
   })
 
-  it('hold every kind of trouble over a few hundred seeds', () => {
+  it('include every kind of fault within 300 seeds', () => {
     const kinds = new Set(Array.from({ length: 300 }, (_, seed) => drawScenario(seed)).flatMap(s => s.faults.map(f => f.kind)))
     expect([...kinds].sort()).to.deep.equal(['endpoint', 'freeze-primary', 'kill-primary', 'link', 'platform', 'signal-vm', 'start-vm'])
   })
 
-  it('leave two proxies alone at least, name none after its end, and end before the calm', () => {
+  it('terminate each proxy at most once, spare at least two proxies, and begin no fault in the last 5 s', () => {
     for (let seed = 0; seed < 500; seed++) {
       const { faults, fleet, durationMs } = drawScenario(seed)
       const terminations = faults.filter(f => f.kind === 'signal-vm' && ['SIGKILL', 'SIGTERM'].includes(f.signal))
@@ -40,9 +40,9 @@
   })
 })
 
-describe('soak with real processes', function () {
+describe('soak scenarios with real processes', function () {
   this.timeout(SCENARIO_TIMEOUT_MS)
-  for (const seed of TEST_SEEDS) it(`keeps every promise with seed ${seed}`, async () => await expectNoViolations(drawScenario(seed)))
+  for (const seed of TEST_SEEDS) it(`shows no violation and acknowledges writes with seed ${seed}`, async () => await expectNoViolations(drawScenario(seed)))
 
   const failedScenarioFiles = existsSync(failedScenarioDirectory) ? readdirSync(failedScenarioDirectory).filter(f => f.endsWith('.json')).sort() : []
   for (const file of failedScenarioFiles) {
--- a/packages/load/src/scenarios/draw-scenario.ts
+++ b/packages/load/src/scenarios/draw-scenario.ts
@@ -5,29 +5,30 @@
 const DATABASE = 'orders'
 const INSTANCE_COUNT = 3
 const FAILURE_DOMAINS = ['north', 'middle', 'south']
-/** When the first fault may begin and how long the fleet has after the last one, in milliseconds. */
+/** The fleet runs without faults before the first and after the last one. */
 const FIRST_FAULT_AT_MS = 1_000
 const FAULT_FREE_END_MS = 5_000
-/** Shortest and longest fault, in milliseconds: shorter than any timeout of the proxy, and longer than most. */
+/** The minimum is shorter than any timeout of the proxy, the maximum longer than most. */
 const MIN_FAULT_DURATION_MS = 150
 const MAX_FAULT_DURATION_MS = 3_500
 const MAX_DELAY_MS = 60
+/** Also the largest factor of `MAX_DELAY_MS` for a slow platform. */
 const MAX_DROPPED_REPLIES = 6
 
 interface DrawContext {
-  /** A whole number from 0 to below `most`. */
-  pick: (most: number) => number
-  /** Time of a fault's begin and end. */
+  /** @returns a random integer from 0 to `limit` - 1 */
+  pick: (limit: number) => number
+  /** When the fault begins and ends, in milliseconds since the run began. */
   atMs: number
   endMs: number
   vms: number
-  /** Proxies that were killed or stopped, which no other fault may name. */
+  /** Proxies that are killed or stopped in this scenario; no other fault may target them. */
   terminatedVms: Set<string>
 }
 
 type FaultGenerator = (draw: DrawContext) => Fault[]
 
-/** Each brings one trouble about and ends it again, as far as it ends. */
+/** Each generator creates one fault and, unless the fault ends by itself, the step that ends it or starts a replacement. */
 const faultGenerators: Record<string, FaultGenerator> = {
   freezePrimary: ({ atMs, endMs }) => [{ kind: 'freeze-primary', atMs, database: DATABASE, forMs: endMs - atMs }],
   pauseVm: draw => drawVmFaults(draw, (vm, { atMs, endMs }) => [{ kind: 'signal-vm', atMs, vm, signal: 'SIGSTOP' }, { kind: 'signal-vm', atMs: endMs, vm, signal: 'SIGCONT' }]),
@@ -45,7 +46,11 @@
   platformSlow: ({ atMs, endMs, pick }) => drawPlatformFaults(atMs, endMs, { slowMs: MAX_DELAY_MS * (1 + pick(MAX_DROPPED_REPLIES)) }, { slowMs: 0 }),
   platformLosesResponses: ({ atMs, endMs }) => drawPlatformFaults(atMs, endMs, { loseAnswerRate: 0.5 }, { loseAnswerRate: 0 })
 }
-/** Ends a primary for good; a second one could leave no majority that knows what was acknowledged. */
+
+/**
+ * Kills a primary, which is not restarted. A scenario does this at most once: after a second kill there might be
+ * no majority left that holds all acknowledged writes.
+ */
 const drawPrimaryKill: FaultGenerator = ({ atMs }) => [{ kind: 'kill-primary', atMs, database: DATABASE }]
 
 function pickEndpoint (pick: DrawContext['pick']): string {
@@ -76,7 +81,7 @@
   return draw.terminatedVms.has(vm) ? [] : create(vm, draw)
 }
 
-/** One proxy at least goes on; the one that ends is replaced by another. */
+/** Terminates a VM and starts another. Adds nothing if fewer than two of the original VMs would be left. */
 function drawVmReplacement (draw: DrawContext, signal: 'SIGKILL' | 'SIGTERM'): Fault[] {
   if (draw.terminatedVms.size >= draw.vms - 2) return []
   return drawVmFaults(draw, (vm, { atMs, endMs, terminatedVms, pick }) => {
@@ -87,13 +92,13 @@
 }
 
 export interface DrawOptions {
-  /** Most troubles in one scenario; they may overlap. */
+  /** Maximum number of faults, which may overlap. The primary may be killed in addition. */
   maxFaults?: number
   durationMs?: number
 }
 
 /**
- * Draws a scenario from a seed: troubles of every kind, in series and overlapping, each of which ends.
+ * Draws a scenario from a seed. Its faults may follow each other or overlap, and all but killed processes recover before the end.
  *
  * @example drawScenario(17) // the same scenario every time
  */
--- a/packages/load/src/scenarios/history.ts
+++ b/packages/load/src/scenarios/history.ts
@@ -1,27 +1,28 @@
-/** What a caller knows of one write. */
+/** Outcome of a write as its client knows it. */
 export type WriteOutcome = 'acknowledged' | 'not run' | 'unknown'
 
 export interface WriteEvent {
   id: string
   outcome: WriteOutcome
-  /** Rows that the write makes, all or none. */
+  /** Number of rows that the write inserts, all or none of them. */
   rows: number
   endedAtMs: number
-  /** The error's text; empty for an acknowledged write. */
+  /** Error message; empty for an acknowledged write. */
   reason: string
 }
 
-/** An answer that a caller should never get. */
+/** A broken promise of the system. */
 export interface Violation {
   promise: string
   detail: string
 }
 
-/** What one run's callers saw. */
+/** What the clients of one run observed. */
 export interface History {
   writes: WriteEvent[]
   violations: Violation[]
   reads: number
+  /** Message of each error that a client got. */
   failures: string[]
 }
 
--- a/packages/load/src/scenarios/run-scenario.ts
+++ b/packages/load/src/scenarios/run-scenario.ts
@@ -20,10 +20,11 @@
 const STATEMENT_TIMEOUT_MS = 3_000
 
 export interface ScenarioResult {
-  /** What should never happen, at whatever speed the machine runs. */
+  /** Violations of promises that do not depend on the speed of the machine. */
   violations: Violation[]
-  /** Times that were not kept. */
+  /** Violations of time limits. */
   delays: Violation[]
+  /** Number of acknowledged writes; `unknown` and `notRun` count the writes with these outcomes. */
   acknowledged: number
   unknown: number
   notRun: number
@@ -31,10 +32,11 @@
   replicaReads: number
   /** Longest time between two acknowledged writes, in milliseconds. */
   gapMs: number
-  /** Most connections that an instance held at once. */
+  /** Highest number of simultaneous connections at one instance. */
   peakConnections: number
+  /** Message of each error that a client got. */
   failures: string[]
-  /** Faults whose target was gone. */
+  /** Faults that could not be injected, each with the reason. Empty unless the scenario permits such faults. */
   skippedFaults: string[]
 }
 
@@ -44,15 +46,16 @@
   key: string
   history: History
   reads: ReadCounter
-  /** When endpoints were marked as leaving, in milliseconds since 1970. */
+  /** When each leaving endpoint was marked, in milliseconds since 1970. */
   leavingSinceMs: Map<string, number>
   skippedFaults: string[]
 }
 
 /**
- * Runs a scenario with real processes on loopback and checks what must always hold.
+ * Runs a scenario with real processes on loopback, and checks its promises and time limits.
  *
- * @throws FleetError when the fleet does not start or takes no writes
+ * @throws FleetError when the fleet does not start
+ * @throws ExperimentError when the fleet accepts no statements, or a required fault cannot be injected
  */
 export async function runScenario (scenario: Scenario): Promise<ScenarioResult> {
   const { vms, replicationDelayMs, maxConnections } = scenario.fleet
@@ -108,7 +111,7 @@
 function checkExpectations (history: History, { expect }: Scenario, replicaReads: number): Violation[] {
   const violations: Violation[] = []
   if (expect.minReplicaReads !== undefined && replicaReads < expect.minReplicaReads) violations.push({ promise: 'reads served by replicas', detail: `${replicaReads}, expected at least ${expect.minReplicaReads}` })
-  if (expect.noFailures) violations.push(...history.failures.map(detail => ({ promise: 'no statement is refused or cut', detail })))
+  if (expect.noFailures) violations.push(...history.failures.map(detail => ({ promise: 'no statement is refused or interrupted', detail })))
   return violations
 }
 
@@ -131,7 +134,7 @@
   }
 }
 
-/** @throws ExperimentError with every reason that was given, after many attempts */
+/** @throws ExperimentError with the distinct errors of all attempts when every attempt fails */
 async function retryUntilSuccess<T> (action: () => Promise<T>): Promise<T> {
   const reasons = new Set<string>()
   for (let i = 0; i < MAX_ATTEMPTS; i++) {
@@ -154,7 +157,7 @@
   }
 }
 
-/** Reads every row through a live proxy, which includes all that was acknowledged. */
+/** Counts the stored rows of each write, through any running proxy. The read includes all acknowledged writes. */
 async function readStoredRowCounts ({ fleet, key }: ScenarioRun): Promise<Map<string, number>> {
   const text = `SELECT id, count(*) AS n FROM (SELECT id FROM ${ENTRIES_TABLE} UNION ALL SELECT id FROM ${PAIRS_TABLE}) AS written GROUP BY id`
   let attempt = 0
--- a/packages/load/src/scenarios/schema.ts
+++ b/packages/load/src/scenarios/schema.ts
@@ -3,32 +3,33 @@
 import { faultSchema } from '../experiment/schema.ts'
 
 /**
- * A scripted scenario: a fleet of processes, callers that check every answer, and faults at times.
+ * A scripted scenario: a fleet of processes, clients that check every response, and faults at given times.
  *
- * What must always hold is checked in every scenario; `expect` adds what this one is about.
+ * Every scenario checks the system's promises; `expect` adds the expectations of this scenario.
  */
 export const scenarioSchema = z.strictObject({
   name: nameSchema,
-  /** What the scenario is to show. */
+  /** What the scenario demonstrates, as one sentence; part of its test's title. */
   about: z.string(),
   fleet: z.strictObject({
     vms: z.number().int().min(1).max(9).default(3),
     replicationDelayMs: z.number().nonnegative().default(2),
     maxConnections: z.number().int().min(10).default(20)
   }).prefault({}),
+  /** Number of clients. */
   callers: z.number().int().min(1).max(64).default(9),
-  /** Time that the fleet has to come to rest before the callers begin. */
+  /** Time between the setup and the first operation, for the fleet to settle. */
   settleMs: z.number().int().nonnegative().default(0),
   durationMs: z.number().int().min(1_000).max(60_000),
   faults: z.array(faultSchema).default([]),
   expect: z.strictObject({
     /** Longest time between two acknowledged writes of the whole run, in milliseconds. */
     maxGapMs: z.number().positive().optional(),
-    /** Least number of reads that replicas served. */
+    /** Minimum number of reads served by replicas. */
     minReplicaReads: z.number().int().nonnegative().optional(),
-    /** No statement may be refused, unknown or cut. */
+    /** Whether any error that a client gets is a violation. */
     noFailures: z.boolean().default(false),
-    /** Every fault must come about; a drawn one may find its target gone. */
+    /** Whether a fault whose target does not exist fails the run. Drawn scenarios skip such faults. */
     allFaults: z.boolean().default(true)
   }).prefault({})
 })
