--- a/packages/load/src/faults/run-fault.ts
+++ b/packages/load/src/faults/run-fault.ts
@@ -6,9 +6,10 @@
 import type { ReadCounter } from '../measures/read-counter.ts'
 
 /**
- * Brings one fault about through a control port, or by a signal to a process that the tool started.
+ * Injects one fault through a control port, a link or the object service, or by a signal to a process of the fleet.
  *
- * @throws ExperimentError when the fault's target does not exist
+ * @param reads saves the statements of a primary before it is killed
+ * @throws ExperimentError when the target of the fault does not exist, or a stand-in rejects the fault
  */
 export async function injectFault (fleet: Fleet, fault: Fault, reads: ReadCounter): Promise<void> {
   switch (fault.kind) {
@@ -51,32 +52,33 @@
   primary.process.signal('SIGKILL')
 }
 
+/** Freezes the primary and returns at once; it is unfrozen after `forMs`. */
 async function freezePrimary (fleet: Fleet, database: string, forMs: number): Promise<void> {
   const { controlUrl } = await findCurrentPrimary(fleet, database)
   await sendFaults(controlUrl, { freeze: true })
   setTimeout(() => { sendFaults(controlUrl, { freeze: false }).catch(() => {}) }, forMs)
 }
 
-/** @throws ExperimentError while the group has no primary */
+/** @throws ExperimentError when the group has no primary */
 async function findCurrentPrimary (fleet: Fleet, database: string): Promise<FleetEndpoint> {
   const primary = await findPrimary(fleet, database)
-  if (primary === undefined) throw new ExperimentError(`${database} has no primary`)
+  if (primary === undefined) throw new ExperimentError(`expected a primary of database ${database}, found none`)
   return primary
 }
 
 async function sendFaults (controlUrl: string, faults: Record<string, unknown>): Promise<void> {
   const response = await fetch(`${controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(faults) })
-  if (!response.ok) throw new ExperimentError(`${controlUrl}/faults: ${await response.text()}`)
+  if (!response.ok) throw new ExperimentError(`${controlUrl}/faults rejected the fault: ${await response.text()}`)
 }
 
 function findEndpoint (fleet: Fleet, name: string): FleetEndpoint {
   const found = fleet.endpoints.find(e => e.endpoint === name)
-  if (found === undefined) throw new ExperimentError(`no endpoint ${name}: expected one of ${fleet.endpoints.map(e => e.endpoint).join(', ')}`)
+  if (found === undefined) throw new ExperimentError(`unknown endpoint ${name}: expected one of ${fleet.endpoints.map(e => e.endpoint).join(', ')}`)
   return found
 }
 
 function findVm (fleet: Fleet, name: string): Fleet['vms'][number] {
   const found = fleet.vms.find(v => v.vm === name)
-  if (found === undefined) throw new ExperimentError(`no VM ${name}: expected one of ${fleet.vms.map(v => v.vm).join(', ')}`)
+  if (found === undefined) throw new ExperimentError(`unknown VM ${name}: expected one of ${fleet.vms.map(v => v.vm).join(', ')}`)
   return found
 }
--- a/packages/load/src/fleet/child-process.ts
+++ b/packages/load/src/fleet/child-process.ts
@@ -7,11 +7,11 @@
 const START_TIMEOUT_MS = 20_000
 const STOP_TIMEOUT_MS = 20_000
 
-/** Children that this process would leave behind if it ended now. */
+/** Running children; killed when this process exits, so that none is left behind. */
 const runningChildren = new Set<ChildProcess>()
 process.once('exit', () => { for (const child of runningChildren) child.kill('SIGKILL') })
 
-/** Ends this process, and with it its children, on SIGINT and SIGTERM. */
+/** Makes this process exit with code 1 on SIGINT and SIGTERM, which kills its children too. */
 export function handleInterrupt (): void {
   for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1))
 }
@@ -19,28 +19,31 @@
 const logLineSchema = z.looseObject({ message: z.string() })
 export type LogLine = z.infer<typeof logLineSchema>
 
-/** A process of the tool's own, started from a settings file. */
+/** A child process that was started with a settings file. */
 export interface StartedProcess {
   pid: number
-  /** The log line by which it said that it is ready. */
+  /** The `listening` log line, by which the process reported that it is ready. */
   ready: LogLine
-  /** Sends a signal to this process. */
+  /** Sends a signal without waiting for its effect. */
   signal: (name: NodeJS.Signals) => void
-  /** Ends it by SIGTERM, by SIGKILL when that takes too long; resolves to its exit code. */
+  /** Sends SIGTERM, and SIGKILL if the process is still running after a timeout. Resolves to the exit code, or `null` if a signal ended the process. */
   stop: () => Promise<number | null>
+  /** Sends SIGKILL and waits for the exit. */
   kill: () => Promise<void>
 }
 
 export interface ChildOptions {
   binary: string
   settingsFile: string
+  /** Called with each JSON log line of the process. */
   onLogLine?: (line: LogLine) => void
 }
 
 /**
- * Starts a binary and waits for its `listening` line.
+ * Starts a Node.js program and waits for its `listening` log line.
  *
- * @throws FleetError when it ends before it is ready
+ * @param binary path of the program's entry file
+ * @throws FleetError when the process exits or a timeout passes before that line
  */
 export async function startChild ({ binary, settingsFile, onLogLine }: ChildOptions): Promise<StartedProcess> {
   const child = spawn(process.execPath, [binary, '--settings', settingsFile], { stdio: ['ignore', 'pipe', 'pipe'] })
@@ -64,8 +67,8 @@
 async function waitForReady (child: ChildProcess, onLogLine: ((line: LogLine) => void) | undefined): Promise<LogLine> {
   const lines = createInterface({ input: child.stdout as NodeJS.ReadableStream })
   return await new Promise((resolve, reject) => {
-    const timer = setTimeout(() => reject(new FleetError('no listening line in time')), START_TIMEOUT_MS)
-    child.once('exit', code => reject(new FleetError(`exit code ${code}`)))
+    const timer = setTimeout(() => reject(new FleetError('expected a listening log line before the start timeout')), START_TIMEOUT_MS)
+    child.once('exit', code => reject(new FleetError(`process exited with code ${code} before its listening log line`)))
     lines.on('line', text => {
       const line = parseLogLine(text)
       if (line === undefined) return
--- a/packages/load/src/fleet/find-primary.ts
+++ b/packages/load/src/fleet/find-primary.ts
@@ -3,7 +3,11 @@
 
 interface EndpointState { status: { role: string, term: number } }
 
-/** The instance of a database that is primary in the highest term; `undefined` while there is none. */
+/**
+ * Asks each instance of a database for its role.
+ *
+ * @returns the instance that is primary in the highest term, or `undefined` while none is
+ */
 export async function findPrimary (fleet: Fleet, database: string): Promise<FleetEndpoint | undefined> {
   const group = fleet.endpoints.filter(e => e.database === database)
   const terms = await Promise.all(group.map(async endpoint => ({ endpoint, term: await readPrimaryTerm(endpoint) })))
--- a/packages/load/src/fleet/loopback-link.test.ts
+++ b/packages/load/src/fleet/loopback-link.test.ts
@@ -9,7 +9,7 @@
   while (!hasHappened()) await new Promise(resolve => setTimeout(resolve, 5))
 }
 
-describe('link on loopback', () => {
+describe('LoopbackLink', () => {
   let server: Server
   let link: LoopbackLink
   let port: number
@@ -31,9 +31,9 @@
     server = createServer(socket => {
       accepted.push(socket)
       socket.on('error', () => {})
-      socket.on('data', piece => {
-        received += piece.toString()
-        socket.write(`echo ${piece.toString()}`)
+      socket.on('data', chunk => {
+        received += chunk.toString()
+        socket.write(`echo ${chunk.toString()}`)
       })
     })
     await new Promise<void>(resolve => server.listen(0, HOST, resolve))
@@ -48,7 +48,7 @@
     await new Promise(resolve => server.close(resolve))
   })
 
-  it('carries both directions, and ends both ends with either', async () => {
+  it('forwards both directions, and closes the client when the server closes', async () => {
     const client = await openClient()
     client.write('one')
     const [response] = await once(client, 'data')
@@ -57,10 +57,10 @@
     await once(client, 'close')
   })
 
-  it('keeps connections open in silence, in one direction or both', async () => {
+  it('keeps connections open and discards data in a silent mode, in one direction or both, and resets them when the mode ends', async () => {
     const client = await openClient()
     const responses: string[] = []
-    client.on('data', piece => responses.push(String(piece)))
+    client.on('data', chunk => responses.push(String(chunk)))
     client.write('one')
     await waitUntil(() => responses.length === 1)
     link.setMode('silentToClient')
@@ -77,7 +77,7 @@
     expect(received).to.equal('onetwo')
   })
 
-  it('cuts connections and refuses new ones', async () => {
+  it('resets open and new connections in reset mode', async () => {
     const client = await openClient()
     client.write('one')
     await waitUntil(() => received === 'one')
@@ -89,7 +89,7 @@
     expect(received).to.equal('one')
   })
 
-  it('delays what it carries', async () => {
+  it('delays data in each direction', async () => {
     const client = await openClient()
     link.setMode('open', 50)
     const startedAtMs = performance.now()
--- a/packages/load/src/fleet/loopback-link.ts
+++ b/packages/load/src/fleet/loopback-link.ts
@@ -1,28 +1,28 @@
 import { createServer, connect, type AddressInfo, type Server, type Socket } from 'node:net'
 
 /**
- * What a link does with what it carries. `silent`, `silentToServer` and `silentToClient` keep connections
- * open and carry nothing, in both directions or one; `reset` cuts connections and refuses new ones.
+ * How a link treats its connections. `open` forwards data. `silent`, `silentToServer` and `silentToClient` keep
+ * connections open and discard the data of both directions or one. `reset` resets all connections, also new ones.
  */
 export const linkModes = ['open', 'reset', 'silent', 'silentToServer', 'silentToClient'] as const
 export type LinkMode = typeof linkModes[number]
 
 export interface LoopbackLinkOptions {
   host: string
-  /** Where the link leads. */
+  /** Port of the server to which the link forwards. */
   port: number
 }
 
 interface SocketPair { client: Socket, server: Socket }
 
 /**
- * A TCP path on loopback that can be delayed, silenced and cut from outside of both ends.
+ * A TCP forwarder on loopback that can delay, discard or reset traffic without the help of client or server.
  *
  * @example const link = new LoopbackLink({ host: '127.0.0.1', port: 3306 }); await link.start() // clients connect to link.port
  */
 export class LoopbackLink {
   mode: LinkMode = 'open'
-  /** Delay of each piece that is carried, in milliseconds. */
+  /** Delay of each forwarded chunk, in milliseconds. */
   delayMs = 0
   readonly #options: LoopbackLinkOptions
   readonly #pairs = new Set<SocketPair>()
@@ -33,11 +33,12 @@
     this.#server = createServer(client => this.#accept(client))
   }
 
-  /** Port that clients connect to; 0 before the start. */
+  /** Port to which clients connect; 0 before the start. */
   get port (): number {
     return (this.#server.address() as AddressInfo | null)?.port ?? 0
   }
 
+  /** Port of the server. */
   get targetPort (): number {
     return this.#options.port
   }
@@ -49,7 +50,10 @@
     })
   }
 
-  /** What was silenced is lost with its connection: a stream that goes on would have a hole. */
+  /**
+   * Changes the mode. A change from a silent mode to another resets all connections, since their streams lack the
+   * discarded data.
+   */
   setMode (mode: LinkMode, delayMs = 0): void {
     const wasSilent = this.mode.startsWith('silent')
     this.mode = mode
@@ -90,7 +94,7 @@
       if (this.delayMs === 0) to.write(chunk)
       else setTimeout(() => { if (!to.destroyed) to.write(chunk) }, this.delayMs)
     })
-    // An end that is gone ends the other as well; which of them failed matters to neither.
+    // When one side closes or fails, the other is closed too; the error itself is of no use.
     from.on('error', () => to.destroy())
     from.on('close', () => {
       this.#pairs.delete(pair)
--- a/packages/load/src/fleet/start-fleet.test.ts
+++ b/packages/load/src/fleet/start-fleet.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('startFleet', () => {
-  it('describes the groups to the object service, and leaves no process behind', async () => {
+  it('writes the groups\' links and limits to the object service, and leaves no process running after a stop', async () => {
     const fleet = await startFleet({ vms: 1, databases: ['orders', 'repairs'], endpoint: { maxConnections: 45 } })
     const pids = [fleet.platform, ...fleet.vms.map(v => v.process), ...fleet.endpoints.map(e => e.process)].map(p => p.pid)
     try {
--- a/packages/load/src/fleet/start-fleet.ts
+++ b/packages/load/src/fleet/start-fleet.ts
@@ -11,12 +11,12 @@
 const HOST = '127.0.0.1'
 const VM_LIST_LAG_MS = 200
 const SESSION_KEY_BYTES = 32
-/** Where every log line of every process goes, at level debug, when it is set. */
+/** If set, each log line of each process is appended to this file, and the proxies log at level `debug`. */
 const logFilePath = process.env.CAMPHORPITCH_FLEET_LOG
-/** Failure domains of VMs and instances in turn, each a region of its own. */
+/** Assigned to VMs and instances in turn. Each failure domain is also a region. */
 const FAILURE_DOMAINS = ['north', 'middle', 'south']
 
-/** Limits of an instance that the platform also describes. */
+/** Limits of an instance that are also part of the database's description in the object service. */
 export interface EndpointLimits {
   maxConnections?: number
   slots?: number
@@ -25,14 +25,14 @@
 export interface FleetOptions {
   /** Number of proxies. */
   vms?: number
-  /** Names of the databases, each a group of `instancesPerDatabase`. */
+  /** Names of the databases; each has a group of `instancesPerDatabase` endpoints. */
   databases?: string[]
   instancesPerDatabase?: number
-  /** Settings of every endpoint stand-in beyond what the fleet decides. */
+  /** Settings of each endpoint stand-in, apart from those that the fleet sets itself. */
   endpoint?: Record<string, unknown> & EndpointLimits
-  /** `info` at least: readiness is an `info` line. */
+  /** At least `info`, since a process reports readiness at that level. */
   logLevel?: 'info' | 'debug'
-  /** Receives each log line of every process. */
+  /** Called with the process's name and each of its log lines. */
   onLine?: (process: string, line: LogLine) => void
 }
 
@@ -52,11 +52,11 @@
   port: number
   controlUrl: string
   process: StartedProcess
-  /** The path that proxies take to it. */
+  /** The link through which the proxies reach this endpoint. */
   link: LoopbackLink
 }
 
-/** Stand-ins and proxies, each a process of its own on loopback. */
+/** Stand-ins and proxies on loopback, each in its own process. */
 export interface Fleet {
   host: string
   objectClient: ObjectClient
@@ -65,9 +65,9 @@
   platform: StartedProcess
   vms: FleetVm[]
   endpoints: FleetEndpoint[]
-  /** Starts one more proxy and puts it on the platform's list. */
+  /** Starts one more proxy and adds it to the platform's list of VMs. */
   startVm: (vm: string, failureDomain: string) => Promise<FleetVm>
-  /** Ends every process and removes the settings files. */
+  /** Kills every process, closes the links and removes the settings files. */
   stop: () => Promise<void>
 }
 
@@ -81,7 +81,7 @@
 /**
  * Starts a platform, database groups and proxies, and describes the groups in the object service.
  *
- * @throws FleetError when a process does not start; those started before are ended
+ * @throws FleetError when a process does not start; the processes started before are killed
  * @example const fleet = await startFleet({ vms: 3, databases: ['orders'] })
  */
 export async function startFleet (options: FleetOptions = {}): Promise<Fleet> {
@@ -186,7 +186,7 @@
   if (logFilePath !== undefined) appendFileSync(logFilePath, `${JSON.stringify(line)}\n`)
 }
 
-/** The workspace's `packages` folder, from the source as from the bundle. */
+/** @returns the repository's `packages` directory, both from the source and from the bundle */
 function findPackagesDirectory (): string {
   const path = fileURLToPath(import.meta.url)
   const folder = join('load', path.includes(join('load', 'dist')) ? 'dist' : 'src')
--- a/packages/load/src/measures/compute-measures.ts
+++ b/packages/load/src/measures/compute-measures.ts
@@ -4,15 +4,16 @@
 
 const MAX_LATENCY_MICROS = 600_000_000
 
-/** An endpoint's share of the reads. */
+/** Number of reads that ran at primaries and at replicas. */
 export interface ReadCount {
   primary: number
   replica: number
 }
 
-/** When a database lost its primary, in milliseconds since the run began. */
+/** A kill or freeze of a database's primary. */
 export interface PrimaryFailure {
   database: string
+  /** Milliseconds since the run began. */
   atMs: number
 }
 
@@ -22,7 +23,7 @@
   reads: ReadCount
   primaryFailures: readonly PrimaryFailure[]
   durationMs: number
-  /** Operations due earlier only count for the tokens that they took. */
+  /** Operations due before this time are not measured, but use tokens of their workspace's rate. */
   warmupMs?: number
 }
 
@@ -31,35 +32,44 @@
   operations: number
   p50Ms: number
   p99Ms: number
-  /** Part of the operations within the rate that succeeded. */
+  /** Fraction of the operations within the rate that succeeded. */
   success: number
-  /** Operations refused for their rate although within it. */
+  /** Number of operations that were refused by the rate limit although they were within the rate. */
   wrongfullyRefused: number
 }
 
 export interface FailoverGap extends PrimaryFailure {
-  /** Time to the end of the first acknowledged write that began after the loss; `null` for none. */
+  /** Time from the failure to the end of the first acknowledged write that began after it; `null` if there was none. */
   gapMs: number | null
 }
 
-/** The users' four measures, and what they rest on. */
+/** Measures of one run, over all workspaces and for each. */
 export interface Measures {
+  /** Fraction of the reads that replicas served; `null` if there were no reads. */
   replicaReadShare: number | null
   failoverGaps: FailoverGap[]
+  /** Highest p99 latency of a workspace. */
   worstP99Ms: number
   meanP99Ms: number
+  /** Lowest success fraction of a workspace. */
   worstSuccess: number
   meanSuccess: number
   wrongfullyRefused: number
+  /** Fraction of all operations that were wrongfully refused. */
   wrongfullyRefusedShare: number
+  /** Successful operations per second after the warm-up. */
   operationsPerSecond: number
   outcomes: Record<Sample['outcome'], number>
-  /** Reasons of all that did not succeed, with their counts. */
+  /** Number of unsuccessful operations by their reason. */
   reasons: Record<string, number>
   workspaces: WorkspaceMeasure[]
 }
 
-/** @example const measures = computeMeasures({ samples, rates, reads: { primary: 10, replica: 90 }, losses: [], durationMs: 20_000 }) */
+/**
+ * Computes the measures from the samples that are due after the warm-up.
+ *
+ * @example const measures = computeMeasures({ samples, rates, reads: { primary: 10, replica: 90 }, primaryFailures: [], durationMs: 20_000 })
+ */
 export function computeMeasures (input: MeasureInput): Measures {
   const { rates, reads, primaryFailures, durationMs, warmupMs = 0 } = input
   const samples = input.samples.filter(s => s.intendedAtMs >= warmupMs)
@@ -98,7 +108,7 @@
   }
 }
 
-/** Latencies in microseconds, from the time when each operation was due. */
+/** @returns a histogram of the latencies in microseconds, counted from the time when each operation was due */
 export function createLatencyHistogram (samples: readonly Sample[]): Histogram {
   const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROS, numberOfSignificantValueDigits: 3 })
   for (const s of samples) {
@@ -107,7 +117,7 @@
   return histogram
 }
 
-/** The samples of the longest latencies, the longest first. */
+/** @returns the `count` samples with the highest latencies, highest first */
 export function selectSlowest (samples: readonly Sample[], count: number): Sample[] {
   return [...samples]
     .sort((a, b) => (b.endedAtMs - b.intendedAtMs) - (a.endedAtMs - a.intendedAtMs))
--- a/packages/load/src/measures/integrity.ts
+++ b/packages/load/src/measures/integrity.ts
@@ -1,14 +1,15 @@
-/** What the system may never get wrong, counted by the callers. */
+/** Counts of consistency violations that the system must never show, as the clients found them. */
 export interface Integrity {
   acknowledgedWrites: number
-  /** Acknowledged writes that are gone; `null` where the databases could not be read afterwards. */
+  /** Acknowledged writes that are not stored; `null` if a database could not be read after the run. */
   lostWrites: number | null
+  /** Rows that are stored in addition to the first of the same write; `null` as for `lostWrites`. */
   doubledWrites: number | null
-  /** Reads that missed the session's own acknowledged write. */
+  /** Reads that did not return an earlier acknowledged write of the same session. */
   staleReads: number
 }
 
-/** Compares acknowledged ids with those stored; each database apart. */
+/** Compares the acknowledged IDs of each database with the IDs that it stores. */
 export function checkIntegrity (acknowledgedByDatabase: ReadonlyMap<string, readonly string[]>, storedByDatabase: ReadonlyMap<string, readonly string[] | null>, staleReads: number): Integrity {
   let lostWrites = 0
   let doubledWrites = 0
--- a/packages/load/src/measures/measures.test.ts
+++ b/packages/load/src/measures/measures.test.ts
@@ -15,7 +15,7 @@
 const rates = new Map([['oslo', { statementsPerSecond: 10, burst: 5 }], ['voss', { statementsPerSecond: 10, burst: 5 }]])
 
 describe('selectWithinRate', () => {
-  it('admits the burst at once and then the rate', () => {
+  it('selects the burst at once and later samples at the rate', () => {
     const atOnce = Array.from({ length: 8 }, () => makeSample())
     const later = [100, 200, 250, 300].map(startedAtMs => makeSample({ startedAtMs }))
     const within = selectWithinRate([...later, ...atOnce], { statementsPerSecond: 10, burst: 5 })
@@ -32,7 +32,7 @@
 describe('computeMeasures', () => {
   const baseInput = { rates, reads: { primary: 1, replica: 3 }, primaryFailures: [], durationMs: 1_000 }
 
-  it('counts only refusals within the rate as wrong', () => {
+  it('counts only refusals within the rate as wrongful', () => {
     const samples = Array.from({ length: 8 }, (_, i) => makeSample({ startedAtMs: i, outcome: i === 0 || i === 7 ? 'limited' : 'ok' }))
     const measures = computeMeasures({ ...baseInput, samples })
     expect(measures.wrongfullyRefused).to.equal(1)
@@ -40,7 +40,7 @@
     expect(measures.replicaReadShare).to.equal(0.75)
   })
 
-  it('leaves out the warm-up, but not the tokens that it took', () => {
+  it('leaves out operations of the warm-up, but counts the tokens that they took', () => {
     const samples = [...Array.from({ length: 5 }, () => makeSample()), makeSample({ startedAtMs: 10, outcome: 'limited' })]
     const measures = computeMeasures({ ...baseInput, samples, warmupMs: 5 })
     expect(measures.outcomes).to.deep.include({ ok: 0, limited: 1 })
@@ -52,7 +52,7 @@
     expect(computeMeasures({ ...baseInput, samples }).worstP99Ms).to.be.closeTo(510, 1)
   })
 
-  it('sets the worst-served workspace against the mean', () => {
+  it('computes p99 and success of the worst workspace and the means over workspaces', () => {
     const samples = [makeSample({ endedAtMs: 10 }), makeSample({ workspace: 'voss', endedAtMs: 30 }), makeSample({ workspace: 'voss', outcome: 'failed' })]
     const measures = computeMeasures({ ...baseInput, samples })
     expect(measures.worstP99Ms).to.be.closeTo(30, 0.1)
@@ -61,7 +61,7 @@
     expect(measures.meanSuccess).to.equal(0.75)
   })
 
-  it('ends the failover gap with the first acknowledged write that began after the loss', () => {
+  it('measures the failover gap up to the end of the first acknowledged write that began after the failure', () => {
     const samples = [
       makeSample({ kind: 'write', startedAtMs: 90, endedAtMs: 150 }),
       makeSample({ kind: 'read', startedAtMs: 120, endedAtMs: 130 }),
@@ -74,7 +74,7 @@
 })
 
 describe('createTimeSeries', () => {
-  it('counts per second by the time of the answer', () => {
+  it('computes rates per second, by the time at which operations ended', () => {
     const series = createTimeSeries([makeSample(), makeSample({ startedAtMs: 600, outcome: 'limited' })], 1_000)
     expect(series.seconds).to.deep.equal([0.5, 1])
     expect(series.ok).to.deep.equal([2, 0])
@@ -84,7 +84,7 @@
 })
 
 describe('checkIntegrity', () => {
-  it('finds lost and doubled writes, and says when it could not look', () => {
+  it('counts lost and doubled writes, and returns null when a database could not be read', () => {
     const acknowledged = new Map([['orders', ['a', 'b', 'c']]])
     expect(checkIntegrity(acknowledged, new Map([['orders', ['a', 'b', 'b', 'x']]]), 2)).to.deep.equal({ acknowledgedWrites: 3, lostWrites: 1, doubledWrites: 1, staleReads: 2 })
     expect(checkIntegrity(acknowledged, new Map([['orders', null]]), 0).lostWrites).to.equal(null)
@@ -92,7 +92,7 @@
 })
 
 describe('classifyError', () => {
-  it('keeps apart what callers may conclude', () => {
+  it('distinguishes rate limits, other refusals, unknown outcomes, lost connections and endpoint errors', () => {
     const describeRefusal = (kind: keyof typeof RefusalCode, reason: string) => classifyError({ errno: RefusalCode[kind], message: formatRefusal({ kind, reason, retryAfterMs: 70 }) })
     expect(describeRefusal('notRunRetry', 'rate')).to.include({ outcome: 'limited', reason: 'not run: rate', retryAfterMs: 70 })
     expect(describeRefusal('notRunRetry', 'no primary')).to.include({ outcome: 'refused' })
--- a/packages/load/src/measures/read-counter.ts
+++ b/packages/load/src/measures/read-counter.ts
@@ -8,11 +8,11 @@
 interface EndpointState { status: { role: string, term: number } }
 interface EndpointRecord { statements: Array<{ text: string, term: number }> }
 
-/** Counts the reads that the endpoints ran, by whether the endpoint was primary of the term at the time. */
+/** Counts the reads that endpoints ran, by whether the endpoint was the primary of the term in which the read ran. */
 export class ReadCounter {
   readonly #endpoints: readonly FleetEndpoint[]
   readonly #isRead: (text: string) => boolean
-  /** Primary by database and term. */
+  /** Name of the primary by `database/term`. */
   readonly #primaryByTerm = new Map<string, string>()
   readonly #recordByEndpoint = new Map<string, EndpointRecord>()
   #timer: NodeJS.Timeout | null = null
@@ -22,6 +22,7 @@
     this.#isRead = isRead
   }
 
+  /** Starts to poll the endpoints' roles. */
   start (): void {
     this.#timer = setInterval(() => { this.#pollRoles() }, ROLE_POLL_INTERVAL_MS)
   }
@@ -30,12 +31,13 @@
     if (this.#timer !== null) clearInterval(this.#timer)
   }
 
-  /** Keeps what an endpoint has recorded, before it is killed. */
+  /** Fetches and keeps the statements that an endpoint recorded; call this before it is killed. */
   async saveStatements (endpoint: FleetEndpoint): Promise<void> {
     const record = await readJson<EndpointRecord>(`${endpoint.controlUrl}/record`)
     if (record !== null) this.#recordByEndpoint.set(endpoint.endpoint, record)
   }
 
+  /** Polls all endpoints once more, and counts their reads. An endpoint that is gone counts with its saved statements. */
   async countReads (): Promise<ReadCount> {
     await this.#pollRoles()
     await Promise.all(this.#endpoints.map(async e => await this.saveStatements(e)))
--- a/packages/load/src/measures/reference-bucket.ts
+++ b/packages/load/src/measures/reference-bucket.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * Which samples lie within a workspace's rate and burst, by one token bucket that sees all of them in
- * the order of their start. A refused sample takes its tokens here too, since it was entitled to them.
+ * Selects the samples within a workspace's rate and burst, by one token bucket that gets all of the workspace's samples
+ * in the order of their start. A sample that the system refused takes its tokens here too, since it was entitled to them.
  *
  * @returns the samples within the rate
  */
--- a/packages/load/src/measures/sample.ts
+++ b/packages/load/src/measures/sample.ts
@@ -1,29 +1,29 @@
-/** What became of one operation or statement, as its caller saw it. */
+/** Outcome of one operation or statement as its client saw it. */
 export type Outcome =
   | 'ok'
-  /** Refused for its rate, and not run. */
+  /** Not run, refused by the rate limit. */
   | 'limited'
-  /** Not run for another reason. */
+  /** Not run, refused for another reason. */
   | 'refused'
-  /** May have run. */
+  /** May or may not have run. */
   | 'unknown'
-  /** An error of the endpoint or of the connection. */
+  /** Failed with an error of the endpoint, or before its first statement was sent. */
   | 'failed'
 
 export type OperationKind = 'read' | 'write' | 'transaction'
 
-/** One operation of a caller. Times are milliseconds since the run began. */
+/** One operation of a client. Times are in milliseconds since the run began. */
 export interface Sample {
   workspace: string
   database: string
   kind: OperationKind
-  /** Statements that it counts for against the rate. */
+  /** Number of statements that count against the rate; at least 1. */
   statements: number
-  /** When it was due; latency counts from here, so that a stalled system cannot hide its queue. */
+  /** When the operation was due. Latency counts from here, so that it includes the wait behind a stalled system. */
   intendedAtMs: number
   startedAtMs: number
   endedAtMs: number
   outcome: Outcome
-  /** Reason of a refusal, or the error. */
+  /** Reason of a refusal or message of an error; empty for outcome `ok`. */
   reason: string
 }
--- a/packages/load/src/measures/time-series.ts
+++ b/packages/load/src/measures/time-series.ts
@@ -3,17 +3,18 @@
 
 const BUCKET_DURATION_MS = 500
 
-/** Values over time, one per half second; rates are per second. */
+/** Values over time, one for each bucket of half a second. `ok`, `refused` and `failed` are in operations per second. */
 export interface TimeSeries {
+  /** End of each bucket, in seconds since the run began. */
   seconds: number[]
   ok: number[]
   refused: number[]
   failed: number[]
-  /** `null` where nothing succeeded. */
+  /** `null` for a bucket without a successful operation. */
   p99Ms: Array<number | null>
 }
 
-/** Groups samples by the time at which they ended. */
+/** Groups the samples by the time at which they ended. */
 export function createTimeSeries (samples: readonly Sample[], durationMs: number): TimeSeries {
   const buckets = Array.from({ length: Math.ceil(durationMs / BUCKET_DURATION_MS) }, () => [] as Sample[])
   for (const s of samples) buckets[Math.floor(s.endedAtMs / BUCKET_DURATION_MS)]?.push(s)
