--- a/packages/load/src/experiment/presets.ts
+++ b/packages/load/src/experiment/presets.ts
@@ -5,7 +5,7 @@
 const FAILOVER_AT_MS = 8_000
 const CLIENT_TIMEOUT_MS = 5_000
 
-/** Two large and six small members that share the databases. */
+/** The first two workspaces are large, the others small. All share the same databases. */
 function createWorkspaces (names: readonly string[]): WorkspaceLoad[] {
   return names.map((workspace, i) => {
     const isLarge = i < 2
@@ -47,7 +47,7 @@
   faults: [{ atMs: FAILOVER_AT_MS, kind: 'kill-primary', database: 'bookings' }]
 }
 
-/** The users' workloads, at the sizes of today. */
+/** Workloads modelled on two users, at their present size. */
 export const presets = { fjordlakk, brasswind } as const
 export type PresetName = keyof typeof presets
 export const presetNames = Object.keys(presets) as [PresetName, ...PresetName[]]
--- a/packages/load/src/experiment/read-experiment.ts
+++ b/packages/load/src/experiment/read-experiment.ts
@@ -10,7 +10,7 @@
 })
 
 /**
- * Checks an experiment. What it leaves out comes from its preset, also within `fleet` and `load`.
+ * Checks an experiment. Missing fields are taken from its preset, also within `fleet` and `load`.
  *
  * @throws SettingsError naming the path of each wrong field
  * @example checkExperiment({ preset: 'fjordlakk', durationMs: 5_000 }, 'night.json')
@@ -25,7 +25,11 @@
   return experiment
 }
 
-/** @throws SettingsError when the file is missing, no JSON or no experiment */
+/**
+ * Reads an experiment from a JSON file.
+ *
+ * @throws SettingsError when the file is missing, is not JSON or is not a valid experiment
+ */
 export function readExperiment (path: string): Experiment {
   return checkExperiment(readJsonFile(path), path)
 }
--- a/packages/load/src/experiment/run-experiment.ts
+++ b/packages/load/src/experiment/run-experiment.ts
@@ -18,7 +18,7 @@
 
 const SETUP_TIMEOUT_MS = 20_000
 const RETRY_DELAY_MS = 200
-/** Lets rates and pools come to rest between the set-up and the run. */
+/** Time between setup and run, for rate limits and connection pools to settle. */
 const SETTLE_TIME_MS = 3_000
 const VERIFY_TIMEOUT_MS = 15_000
 const SLOWEST_SAMPLE_COUNT = 20
@@ -31,15 +31,15 @@
   measures: Measures
   integrity: Integrity
   series: TimeSeries
-  /** The operations that took longest, whatever became of them. */
+  /** The operations with the highest latencies, whatever their outcome. */
   slowest: Sample[]
-  /** Faults that could not be brought about, with the reason. */
+  /** Faults that could not be injected, each with the reason. */
   failedFaults: string[]
 }
 
 export interface RunOptions {
   system: SystemName
-  /** Called each second with the samples so far. */
+  /** Called each second with all samples so far. */
   onProgress?: (elapsedMs: number, samples: readonly Sample[]) => void
 }
 
@@ -49,7 +49,7 @@
   target: LoadTarget
   reads: ReadCounter
   samples: Sample[]
-  /** Acknowledged ids by database. */
+  /** IDs of the acknowledged inserts by database. */
   acknowledged: Map<string, string[]>
   staleReads: string[]
   primaryFailures: PrimaryFailure[]
@@ -57,9 +57,11 @@
 }
 
 /**
- * Starts a fleet, runs the workload and the faults on it, and ends it again.
+ * Starts a fleet, runs the workload on it while it injects the faults, and stops the fleet.
+ * Faults that cannot be injected are listed in the result.
  *
- * @throws FleetError when the fleet does not start, ExperimentError when it takes no writes
+ * @throws FleetError when the fleet does not start
+ * @throws ExperimentError when a database accepts no writes
  * @example const { measures } = await runExperiment(presets.fjordlakk, { system: 'camphorpitch' })
  */
 export async function runExperiment (experiment: Experiment, options: RunOptions): Promise<RunResult> {
@@ -107,12 +109,16 @@
   for (const database of run.experiment.fleet.databases) {
     for (const text of createTableStatements) {
       const result = await retryStatement(run, database, text, SETUP_TIMEOUT_MS)
-      if (result.error !== null) throw new ExperimentError(`${database} takes no writes: ${result.error}`)
+      if (result.error !== null) throw new ExperimentError(`database ${database} accepts no writes: ${result.error}`)
     }
   }
 }
 
-/** Runs a statement in a new session until it succeeds or time is over. */
+/**
+ * Runs a statement, each time in a new session at the next VM, until it succeeds or `timeoutMs` has passed.
+ *
+ * @returns the first column of the first row, or the last error
+ */
 async function retryStatement ({ target, experiment }: ExperimentRun, database: string, text: string, timeoutMs: number): Promise<{ value: string | null, error: string | null }> {
   const deadlineMs = performance.now() + timeoutMs
   for (let vmIndex = 0; ; vmIndex++) {
@@ -178,6 +184,7 @@
   }
 }
 
+/** @returns the IDs of all stored rows, or `null` when the database cannot be read */
 async function readStoredIds (run: ExperimentRun, database: string): Promise<string[] | null> {
   const { value, error } = await retryStatement(run, database, `SELECT COALESCE(GROUP_CONCAT(id), '') FROM ${WORKLOAD_TABLE}`, VERIFY_TIMEOUT_MS)
   if (error !== null || value === null) return null
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -14,14 +14,14 @@
 import { runScenario } from './scenarios/run-scenario.ts'
 import { scenarioSchema } from './scenarios/schema.ts'
 
-/** Seeds that are not given are drawn below this one. */
+/** Without `--from`, the first seed is below this number. */
 const SEED_RANGE = 1_000_000
 const wholeNumberSchema = z.coerce.number().int().nonnegative()
 
-/** @throws UsageError unless the text is a whole number from 0 */
+/** @throws UsageError unless the text is a whole number of at least 0 */
 function parseWholeNumber (text: string, option: string): number {
   const parsed = wholeNumberSchema.safeParse(text)
-  if (!parsed.success) throw new UsageError(`${option}: expected a whole number from 0, got ${text}`)
+  if (!parsed.success) throw new UsageError(`${option}: expected a whole number of at least 0, got ${text}`)
   return parsed.data
 }
 
@@ -29,14 +29,14 @@
   static override paths = [['run'], Command.Default]
   static override usage = Command.Usage({
     description: 'Run a workload with faults on a fleet of stand-ins, and print the measures',
-    details: `An experiment is a JSON file, or one of the presets ${presetNames.join(' and ')}. Exits with 1 when an acknowledged write was lost or doubled, or a session missed its own write.`,
+    details: `An experiment is a JSON file, or one of the presets ${presetNames.join(' and ')}. Exits with 1 when an acknowledged write was lost or applied twice, a session did not read its own write, or the databases could not be read afterwards.`,
     examples: [['Run a preset and write a report', '$0 run fjordlakk --html report.html'], ['Run a file', '$0 run night.json --json result.json']]
   })
 
   experiment = Option.String({ name: 'experiment', required: true })
   html = Option.String('--html', { description: 'File for the report with plots' })
   json = Option.String('--json', { description: 'File for the measures as JSON' })
-  baseline = Option.Boolean('--baseline', false, { description: 'Run the same against a naive proxy as well' })
+  baseline = Option.Boolean('--baseline', false, { description: 'Run the same experiment against the naive baseline as well' })
 
   override async execute (): Promise<number> {
     handleInterrupt()
@@ -62,7 +62,7 @@
 function formatReasons ({ system, measures, failedFaults }: RunResult): string {
   const reasons = Object.entries(measures.reasons).sort((a, b) => b[1] - a[1])
   const lines = reasons.map(([reason, count]) => `${system}: ${count} x ${reason}\n`)
-  return [...lines, ...failedFaults.map(f => `${system}: fault not brought about: ${f}\n`)].join('')
+  return [...lines, ...failedFaults.map(f => `${system}: fault could not be injected: ${f}\n`)].join('')
 }
 
 function hasIntegrity ({ integrity }: RunResult): boolean {
@@ -72,8 +72,8 @@
 class ScenarioCommand extends Command {
   static override paths = [['scenario']]
   static override usage = Command.Usage({
-    description: 'Run scripted scenarios on processes of their own, and check what must always hold and the times',
-    details: 'Exits with 1 when a promise was broken or a time was not kept.',
+    description: 'Run scripted scenarios, each with its own processes, and check their promises and time limits',
+    details: 'Exits with 1 when a promise or time limit was violated.',
     examples: [['Run two scenarios', '$0 scenario scenarios/calm.json scenarios/primary-killed.json']]
   })
 
@@ -95,13 +95,13 @@
 class SoakCommand extends Command {
   static override paths = [['soak']]
   static override usage = Command.Usage({
-    description: 'Run scenarios drawn from seeds on processes of their own, one after the other, and check what must always hold',
-    details: 'Prints each seed whose promises were broken with its scenario, which may be kept as a file. Exits with 1 when there was one.',
-    examples: [['Fifty seeds', '$0 soak --seeds 50'], ['One seed again', '$0 soak --from 17 --seeds 1']]
+    description: 'Run scenarios drawn from seeds one after the other, each with its own processes, and check their promises',
+    details: 'Prints the scenario of each seed that violated a promise or acknowledged no write; it can be saved as a file for the scenario command. Exits with 1 when there was one.',
+    examples: [['Run fifty seeds', '$0 soak --seeds 50'], ['Run one seed again', '$0 soak --from 17 --seeds 1']]
   })
 
-  seeds = Option.String('--seeds', '10', { description: 'how many' })
-  from = Option.String('--from', { description: 'the first; drawn from the time of day if left out' })
+  seeds = Option.String('--seeds', '10', { description: 'Number of seeds' })
+  from = Option.String('--from', { description: 'First seed; taken from the clock by default' })
 
   override async execute (): Promise<number> {
     handleInterrupt()
--- a/packages/load/src/report/format-html.ts
+++ b/packages/load/src/report/format-html.ts
@@ -12,7 +12,7 @@
   return text.replace(/[&<>"]/g, c => `&#${c.charCodeAt(0)};`)
 }
 
-/** JSON that may stand inside a script element. */
+/** Encodes a value as JSON that is safe inside a script element. */
 function formatScriptJson (value: unknown): string {
   return JSON.stringify(value).replaceAll('<', '\\u003c')
 }
@@ -27,7 +27,7 @@
 table { border-collapse: collapse } th, td { text-align: left; padding: .25em 1em .25em 0; border-bottom: 1px solid #ddd }
 pre { white-space: pre-wrap; background: #f6f6f6; padding: 1em }`
 
-/** Draws the plots; runs in the reader's browser. */
+/** Draws the plots in the browser. */
 const SCRIPT = `const charts = document.getElementById('charts')
 const draw = (title, x, series) => new uPlot({
   title, width: 940, height: 240, scales: { x: { time: false } }, axes: [{ label: 'seconds' }, {}],
@@ -42,7 +42,7 @@
   draw(system + ': p99 latency, ms', series.seconds, [{ label: 'p99', stroke: '#0969da', values: series.p99Ms }])
 }`
 
-/** A report that needs no other file: measures, plots over time, and the experiment itself. */
+/** Formats a self-contained HTML report with the measures, plots over time and the experiment. */
 export function formatHtml (experiment: Experiment, results: readonly RunResult[]): string {
   return `<!doctype html>
 <html lang="en">
--- a/packages/load/src/report/format-table.ts
+++ b/packages/load/src/report/format-table.ts
@@ -30,12 +30,12 @@
   { label: 'reads that missed their own write', format: r => String(r.integrity.staleReads) }
 ]
 
-/** Rows of label and one value for each system. */
+/** @returns rows that hold a label and one value for each system */
 export function listRows (results: readonly RunResult[]): string[][] {
   return measureRows.map(({ label, format }) => [label, ...results.map(format)])
 }
 
-/** The measures as a plain text table, one column for each system. */
+/** Formats the measures as a plain text table with one column for each system. */
 export function formatTable (results: readonly RunResult[]): string {
   const rows = [['', ...results.map(r => r.system)], ...listRows(results)]
   const widths = rows[0]!.map((_, column) => Math.max(...rows.map(r => r[column]!.length)))
--- a/packages/load/src/report/print-progress.ts
+++ b/packages/load/src/report/print-progress.ts
@@ -1,7 +1,7 @@
 import { createLatencyHistogram } from '../measures/compute-measures.ts'
 import type { Sample } from '../measures/sample.ts'
 
-/** Prints one line of what has happened since the last one. */
+/** Creates a callback that prints one line to stderr about the operations since its last call. */
 export function createProgressPrinter (system: string, durationMs: number): (elapsedMs: number, samples: readonly Sample[]) => void {
   let printedCount = 0
   return (elapsedMs, samples) => {
--- a/packages/load/src/workload/caller.ts
+++ b/packages/load/src/workload/caller.ts
@@ -5,22 +5,22 @@
 import type { CallerSession, LoadTarget } from './session.ts'
 import { formatInsert, formatRead, formatUpdate } from './statements.ts'
 
-/** Wait before a lost connection is opened again. */
+/** Wait after a lost connection before the client connects again. */
 const RECONNECT_DELAY_MS = 100
 
 export interface ClientOptions {
   target: LoadTarget
   experiment: Experiment
   workspace: WorkspaceLoad
-  /** Number of this caller among all. */
+  /** Index of this client among all clients, from 0. */
   index: number
   random: () => number
-  /** Milliseconds since the run began. */
+  /** @returns milliseconds since the run began */
   readElapsedMs: () => number
   recordSample: (sample: Sample) => void
-  /** Called with the id and database of each acknowledged insert. */
+  /** Called with the ID and database of each acknowledged insert. */
   recordWrite: (id: string, database: string) => void
-  /** Called when a session did not read its own acknowledged write. */
+  /** Called with the ID of a write when a session did not read its own acknowledged write. */
   recordStaleRead: (id: string) => void
 }
 
@@ -30,7 +30,7 @@
   operations: number
 }
 
-/** Runs one caller until the experiment ends: one operation at a time, on one database. */
+/** Runs one client until the experiment ends. It runs one operation at a time, all on one database. */
 export async function runClient (options: ClientOptions): Promise<void> {
   const { experiment, readElapsedMs } = options
   const state: ClientState = { session: null, lastWrite: null, operations: 0 }
@@ -45,7 +45,7 @@
   state.session?.close()
 }
 
-/** The open loop has exponential gaps between due times; the closed one waits after each answer. */
+/** In an open loop, the times between due times are exponentially distributed. In a closed loop, the client waits after each response. */
 function computeNextDueAtMs ({ experiment, workspace, random, readElapsedMs }: ClientOptions, lastDueAtMs: number): number {
   const { loop, thinkTimeMs } = experiment.load
   if (loop === 'closed') return readElapsedMs() + thinkTimeMs
@@ -107,7 +107,7 @@
   }
 }
 
-/** Opens the session, or moves it after its share of operations on one VM. */
+/** Opens a session if there is none, or moves it to the next VM after `operationsPerVm` operations. */
 async function ensureSession (options: ClientOptions, state: ClientState): Promise<CallerSession> {
   const { target, workspace, index, experiment } = options
   const { operationsPerVm } = experiment.load
@@ -145,7 +145,11 @@
   recordWrite(id, pickDatabase(options))
 }
 
-/** A session in doubt is given up, so that no half-done transaction goes on; a new one starts from the primary. */
+/**
+ * Classifies the error of an operation, and ensures that no unfinished transaction continues: closes the session if its
+ * connection is lost or no statement was sent, and rolls back otherwise. After a close, the next operation opens a new
+ * session, which starts from the primary.
+ */
 async function handleError (state: ClientState, error: unknown, hasSentStatement: boolean): Promise<ClassifiedError> {
   const classified = classifyError(error)
   if (!hasSentStatement && classified.outcome === 'unknown') classified.outcome = 'failed'
--- a/packages/load/src/workload/classify-error.ts
+++ b/packages/load/src/workload/classify-error.ts
@@ -5,7 +5,7 @@
   outcome: Exclude<Outcome, 'ok'>
   reason: string
   retryAfterMs: number | null
-  /** The connection is of no more use. */
+  /** Whether the connection can't be used any more. */
   isConnectionLost: boolean
 }
 
@@ -16,10 +16,10 @@
 }
 
 const limitReasonPattern = /rate|limit/i
-/** Errors with a number of the protocol arrive on a connection that lives on. */
+/** Errors from this number on were sent by the server, so the connection still works. */
 const MIN_MYSQL_ERRNO = 1_000
 
-/** Classifies the error of a statement by what its caller may conclude. */
+/** Classifies the error of a statement by what its client may conclude. */
 export function classifyError (error: unknown): ClassifiedError {
   const { errno, code, message } = (error ?? {}) as MysqlError
   const text = String(message ?? error)
--- a/packages/load/src/workload/proxy-target.ts
+++ b/packages/load/src/workload/proxy-target.ts
@@ -5,7 +5,7 @@
 
 const CONNECT_TIMEOUT_MS = 5_000
 
-/** Reaches the databases through the fleet's proxies, as callers do. */
+/** Connects to the databases through the fleet's proxies, as clients do. */
 export class ProxyTarget extends LoadTarget {
   readonly #fleet: Fleet
   readonly #keys: ReadonlyMap<string, string>
@@ -18,7 +18,7 @@
 
   override async openSession (options: SessionOptions): Promise<CallerSession> {
     const key = this.#keys.get(options.workspace)
-    if (key === undefined) throw new ExperimentError(`no key for ${options.workspace}`)
+    if (key === undefined) throw new ExperimentError(`no key for workspace ${options.workspace}`)
     const session = new ProxySession(this.#fleet, key, options)
     await session.open()
     return session
@@ -31,7 +31,7 @@
   readonly #options: SessionOptions
   #vmIndex: number
   #connection: Connection | null = null
-  /** Last session token that could be read. */
+  /** Last session token that was read; `null` before the first. */
   #token: string | null = null
 
   constructor (fleet: Fleet, key: string, options: SessionOptions) {
@@ -74,6 +74,7 @@
   }
 }
 
+/** @returns the first column of the first row, or `null` without rows */
 async function readFirstColumn (connection: Connection, sql: string, timeout: number): Promise<string | null> {
   const [rows] = await connection.query({ sql, timeout })
   if (!Array.isArray(rows)) return null
--- a/packages/load/src/workload/session.ts
+++ b/packages/load/src/workload/session.ts
@@ -1,8 +1,8 @@
-/** A caller's session with the system under load. */
+/** A client's session with the system under load. */
 export abstract class CallerSession {
   /** Runs one statement and resolves to the first column of its first row, or `null`. */
   abstract run (text: string): Promise<string | null>
-  /** Goes on at the next VM with what the session has seen. */
+  /** Continues the session at the next VM, with its session token. */
   abstract move (): Promise<void>
   abstract close (): void
 }
@@ -10,9 +10,9 @@
 export interface SessionOptions {
   workspace: string
   database: string
-  /** VM to begin at; wraps around. */
+  /** Index of the first VM, modulo the number of VMs. */
   vmIndex: number
-  /** Longest wait for an answer. */
+  /** Timeout of each statement. */
   timeoutMs: number
 }
 
--- a/packages/load/src/workload/statements.ts
+++ b/packages/load/src/workload/statements.ts
@@ -1,4 +1,4 @@
-/** The table that operations work on; without a primary key, so that a doubled write shows. */
+/** Table of the workload. It has no primary key, so that a write that is applied twice leaves two rows. */
 export const WORKLOAD_TABLE = 'load_entries'
 
 export const createTableStatements = [
@@ -19,7 +19,7 @@
   return `UPDATE ${WORKLOAD_TABLE} SET quantity = ${quantity} WHERE id = '${id}'`
 }
 
-/** Whether a statement that an endpoint recorded is a read of the workload. */
+/** @returns whether a statement that an endpoint recorded is a read of the workload */
 export function isWorkloadRead (text: string): boolean {
   return text.startsWith(`SELECT quantity FROM ${WORKLOAD_TABLE}`)
 }
