--- a/packages/load/src/experiment/read-experiment.ts
+++ b/packages/load/src/experiment/read-experiment.ts
@@ -3,29 +3,33 @@
 import { presetNames, presets } from './presets.ts'
 import { experimentSchema, type Experiment } from './schema.ts'
 
-const partSchema = z.looseObject({
+const partialExperimentSchema = z.looseObject({
   preset: z.enum(presetNames).optional(),
   fleet: z.looseObject({}).optional(),
   load: z.looseObject({}).optional()
 })
 
 /**
- * Checks an experiment. What it leaves out comes from its preset, also within `fleet` and `load`.
+ * Checks an experiment. Missing fields are taken from its preset, also within `fleet` and `load`.
  *
  * @throws SettingsError naming the path of each wrong field
  * @example checkExperiment({ preset: 'fjordlakk', durationMs: 5_000 }, 'night.json')
  */
 export function checkExperiment (value: unknown, source: string): Experiment {
-  const { preset, ...own } = checkSettings(value, partSchema, source)
-  const base = preset === undefined ? {} : presets[preset]
-  const fleet = preset === undefined ? own.fleet : { ...presets[preset].fleet, ...own.fleet }
-  const load = preset === undefined ? own.load : { ...presets[preset].load, ...own.load }
-  const experiment = checkSettings({ ...base, ...own, fleet, load }, experimentSchema, source)
+  const { preset, ...overrides } = checkSettings(value, partialExperimentSchema, source)
+  const presetFields = preset === undefined ? {} : presets[preset]
+  const fleet = preset === undefined ? overrides.fleet : { ...presets[preset].fleet, ...overrides.fleet }
+  const load = preset === undefined ? overrides.load : { ...presets[preset].load, ...overrides.load }
+  const experiment = checkSettings({ ...presetFields, ...overrides, fleet, load }, experimentSchema, source)
   checkReferences(experiment, source)
   return experiment
 }
 
-/** @throws SettingsError when the file is missing, no JSON or no experiment */
+/**
+ * Reads an experiment from a JSON file.
+ *
+ * @throws SettingsError when the file is missing, is not JSON or is not a valid experiment
+ */
 export function readExperiment (path: string): Experiment {
   return checkExperiment(readJsonFile(path), path)
 }
--- a/packages/load/src/measures/compute-measures.ts
+++ b/packages/load/src/measures/compute-measures.ts
@@ -2,17 +2,18 @@
 import { selectWithinRate, type ReferenceRate } from './reference-bucket.ts'
 import type { Sample } from './sample.ts'
 
-const HISTOGRAM_MAX_MICROS = 600_000_000
+const MAX_LATENCY_MICROS = 600_000_000
 
-/** An endpoint's share of the reads. */
+/** Number of reads that ran at primaries and at replicas. */
 export interface ReadCount {
   primary: number
   replica: number
 }
 
-/** When a database lost its primary, in milliseconds since the run began. */
-export interface PrimaryLoss {
+/** A kill or freeze of a database's primary. */
+export interface PrimaryFailure {
   database: string
+  /** Milliseconds since the run began. */
   atMs: number
 }
 
@@ -20,9 +21,9 @@
   samples: readonly Sample[]
   rates: ReadonlyMap<string, ReferenceRate>
   reads: ReadCount
-  losses: readonly PrimaryLoss[]
+  primaryFailures: readonly PrimaryFailure[]
   durationMs: number
-  /** Operations due earlier only count for the tokens that they took. */
+  /** Operations due before this time are not measured, but use tokens of their workspace's rate. */
   warmupMs?: number
 }
 
@@ -31,49 +32,58 @@
   operations: number
   p50Ms: number
   p99Ms: number
-  /** Part of the operations within the rate that succeeded. */
+  /** Fraction of the operations within the rate that succeeded. */
   success: number
-  /** Operations refused for their rate although within it. */
+  /** Number of operations that were refused by the rate limit although they were within the rate. */
   wrongfullyRefused: number
 }
 
-export interface FailoverGap extends PrimaryLoss {
-  /** Time to the end of the first acknowledged write that began after the loss; `null` for none. */
+export interface FailoverGap extends PrimaryFailure {
+  /** Time from the failure to the end of the first acknowledged write that began after it; `null` if there was none. */
   gapMs: number | null
 }
 
-/** The users' four measures, and what they rest on. */
+/** Measures of one run, over all workspaces and for each. */
 export interface Measures {
+  /** Fraction of the reads that replicas served; `null` if there were no reads. */
   replicaReadShare: number | null
   failoverGaps: FailoverGap[]
+  /** Highest p99 latency of a workspace. */
   worstP99Ms: number
   meanP99Ms: number
+  /** Lowest success fraction of a workspace. */
   worstSuccess: number
   meanSuccess: number
   wrongfullyRefused: number
+  /** Fraction of all operations that were wrongfully refused. */
   wrongfullyRefusedShare: number
+  /** Successful operations per second after the warm-up. */
   operationsPerSecond: number
   outcomes: Record<Sample['outcome'], number>
-  /** Reasons of all that did not succeed, with their counts. */
+  /** Number of unsuccessful operations by their reason. */
   reasons: Record<string, number>
   workspaces: WorkspaceMeasure[]
 }
 
-/** @example const measures = computeMeasures({ samples, rates, reads: { primary: 10, replica: 90 }, losses: [], durationMs: 20_000 }) */
+/**
+ * Computes the measures from the samples that are due after the warm-up.
+ *
+ * @example const measures = computeMeasures({ samples, rates, reads: { primary: 10, replica: 90 }, primaryFailures: [], durationMs: 20_000 })
+ */
 export function computeMeasures (input: MeasureInput): Measures {
-  const { rates, reads, losses, durationMs, warmupMs = 0 } = input
+  const { rates, reads, primaryFailures, durationMs, warmupMs = 0 } = input
   const samples = input.samples.filter(s => s.intendedAtMs >= warmupMs)
   const workspaces = [...rates].map(([workspace, rate]) => measureWorkspace(workspace, rate, input.samples, warmupMs))
   const wrongfullyRefused = computeSum(workspaces.map(w => w.wrongfullyRefused))
   const totalReads = reads.primary + reads.replica
-  const served = workspaces.filter(w => w.operations > 0)
+  const activeWorkspaces = workspaces.filter(w => w.operations > 0)
   return {
     replicaReadShare: totalReads === 0 ? null : reads.replica / totalReads,
-    failoverGaps: losses.map(loss => ({ ...loss, gapMs: measureGap(samples, loss) })),
-    worstP99Ms: Math.max(0, ...served.map(w => w.p99Ms)),
-    meanP99Ms: computeMean(served.map(w => w.p99Ms)),
-    worstSuccess: Math.min(1, ...served.map(w => w.success)),
-    meanSuccess: computeMean(served.map(w => w.success)),
+    failoverGaps: primaryFailures.map(failure => ({ ...failure, gapMs: measureFailoverGapMs(samples, failure) })),
+    worstP99Ms: Math.max(0, ...activeWorkspaces.map(w => w.p99Ms)),
+    meanP99Ms: computeMean(activeWorkspaces.map(w => w.p99Ms)),
+    worstSuccess: Math.min(1, ...activeWorkspaces.map(w => w.success)),
+    meanSuccess: computeMean(activeWorkspaces.map(w => w.success)),
     wrongfullyRefused,
     wrongfullyRefusedShare: samples.length === 0 ? 0 : wrongfullyRefused / samples.length,
     operationsPerSecond: countOutcome(samples, 'ok') * 1_000 / (durationMs - warmupMs),
@@ -83,42 +93,42 @@
   }
 }
 
-function measureWorkspace (workspace: string, rate: ReferenceRate, all: readonly Sample[], warmupMs: number): WorkspaceMeasure {
-  const own = all.filter(s => s.workspace === workspace)
-  const samples = own.filter(s => s.intendedAtMs >= warmupMs)
-  const within = selectWithinRate(own, rate).filter(s => s.intendedAtMs >= warmupMs)
-  const histogram = createHistogram(samples.filter(s => s.outcome === 'ok'))
+function measureWorkspace (workspace: string, rate: ReferenceRate, allSamples: readonly Sample[], warmupMs: number): WorkspaceMeasure {
+  const workspaceSamples = allSamples.filter(s => s.workspace === workspace)
+  const samples = workspaceSamples.filter(s => s.intendedAtMs >= warmupMs)
+  const withinRate = selectWithinRate(workspaceSamples, rate).filter(s => s.intendedAtMs >= warmupMs)
+  const histogram = createLatencyHistogram(samples.filter(s => s.outcome === 'ok'))
   return {
     workspace,
     operations: samples.length,
     p50Ms: histogram.getValueAtPercentile(50) / 1_000,
     p99Ms: histogram.getValueAtPercentile(99) / 1_000,
-    success: within.length === 0 ? 1 : countOutcome(within, 'ok') / within.length,
-    wrongfullyRefused: countOutcome(within, 'limited')
+    success: withinRate.length === 0 ? 1 : countOutcome(withinRate, 'ok') / withinRate.length,
+    wrongfullyRefused: countOutcome(withinRate, 'limited')
   }
 }
 
-/** Latencies in microseconds, from the time when each operation was due. */
-export function createHistogram (samples: readonly Sample[]): Histogram {
-  const histogram = build({ highestTrackableValue: HISTOGRAM_MAX_MICROS, numberOfSignificantValueDigits: 3 })
+/** @returns a histogram of the latencies in microseconds, counted from the time when each operation was due */
+export function createLatencyHistogram (samples: readonly Sample[]): Histogram {
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROS, numberOfSignificantValueDigits: 3 })
   for (const s of samples) {
-    histogram.recordValue(Math.min(HISTOGRAM_MAX_MICROS, Math.max(1, Math.round((s.endedAtMs - s.intendedAtMs) * 1_000))))
+    histogram.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(1, Math.round((s.endedAtMs - s.intendedAtMs) * 1_000))))
   }
   return histogram
 }
 
-/** The samples of the longest latencies, the longest first. */
+/** @returns the `count` samples with the highest latencies, highest first */
 export function selectSlowest (samples: readonly Sample[], count: number): Sample[] {
   return [...samples]
     .sort((a, b) => (b.endedAtMs - b.intendedAtMs) - (a.endedAtMs - a.intendedAtMs))
     .slice(0, count)
 }
 
-function measureGap (samples: readonly Sample[], loss: PrimaryLoss): number | null {
+function measureFailoverGapMs (samples: readonly Sample[], failure: PrimaryFailure): number | null {
   const ends = samples
-    .filter(s => s.database === loss.database && s.kind !== 'read' && s.outcome === 'ok' && s.startedAtMs >= loss.atMs)
+    .filter(s => s.database === failure.database && s.kind !== 'read' && s.outcome === 'ok' && s.startedAtMs >= failure.atMs)
     .map(s => s.endedAtMs)
-  return ends.length === 0 ? null : Math.min(...ends) - loss.atMs
+  return ends.length === 0 ? null : Math.min(...ends) - failure.atMs
 }
 
 function countOutcome (samples: readonly Sample[], outcome: Sample['outcome']): number {
--- a/packages/load/src/workload/classify-error.ts
+++ b/packages/load/src/workload/classify-error.ts
@@ -1,11 +1,11 @@
 import { parseRetryAfterMs, RefusalCode } from '@camphorpitch/wire'
 import type { Outcome } from '../measures/sample.ts'
 
-export interface ErrorClass {
+export interface ClassifiedError {
   outcome: Exclude<Outcome, 'ok'>
   reason: string
   retryAfterMs: number | null
-  /** The connection is of no more use. */
+  /** Whether the connection can't be used any more. */
   isConnectionLost: boolean
 }
 
@@ -15,21 +15,21 @@
   message?: unknown
 }
 
-const LIMIT_REASON = /rate|limit/i
-/** Errors with a number of the protocol arrive on a connection that lives on. */
-const MIN_ERRNO = 1_000
+const limitReasonPattern = /rate|limit/i
+/** Errors from this number on were sent by the server, so the connection still works. */
+const MIN_MYSQL_ERRNO = 1_000
 
-/** Classifies the error of a statement by what its caller may conclude. */
-export function classifyError (error: unknown): ErrorClass {
+/** Classifies the error of a statement by what its client may conclude. */
+export function classifyError (error: unknown): ClassifiedError {
   const { errno, code, message } = (error ?? {}) as MysqlError
   const text = String(message ?? error)
   const retryAfterMs = parseRetryAfterMs(text)
   const reason = text.replace(/; retry after \d+ ms$/, '').replace(/^camphorpitch: /, '')
-  if (typeof errno !== 'number' || errno < MIN_ERRNO) {
+  if (typeof errno !== 'number' || errno < MIN_MYSQL_ERRNO) {
     return { outcome: 'unknown', reason: `connection: ${String(code ?? text)}`, retryAfterMs: null, isConnectionLost: true }
   }
   if (errno === RefusalCode.notRunRetry) {
-    return { outcome: LIMIT_REASON.test(reason) ? 'limited' : 'refused', reason, retryAfterMs, isConnectionLost: false }
+    return { outcome: limitReasonPattern.test(reason) ? 'limited' : 'refused', reason, retryAfterMs, isConnectionLost: false }
   }
   const outcome = errno === RefusalCode.notRunDenied || errno === RefusalCode.transactionLost
     ? 'refused'
--- a/packages/load/src/workload/proxy-target.ts
+++ b/packages/load/src/workload/proxy-target.ts
@@ -5,7 +5,7 @@
 
 const CONNECT_TIMEOUT_MS = 5_000
 
-/** Reaches the databases through the fleet's proxies, as callers do. */
+/** Connects to the databases through the fleet's proxies, as clients do. */
 export class ProxyTarget extends LoadTarget {
   readonly #fleet: Fleet
   readonly #keys: ReadonlyMap<string, string>
@@ -18,7 +18,7 @@
 
   override async openSession (options: SessionOptions): Promise<CallerSession> {
     const key = this.#keys.get(options.workspace)
-    if (key === undefined) throw new ExperimentError(`no key for ${options.workspace}`)
+    if (key === undefined) throw new ExperimentError(`no key for workspace ${options.workspace}`)
     const session = new ProxySession(this.#fleet, key, options)
     await session.open()
     return session
@@ -31,7 +31,7 @@
   readonly #options: SessionOptions
   #vmIndex: number
   #connection: Connection | null = null
-  /** Last session token that could be read. */
+  /** Last session token that was read; `null` before the first. */
   #token: string | null = null
 
   constructor (fleet: Fleet, key: string, options: SessionOptions) {
@@ -48,12 +48,12 @@
     const connection = await createConnection({ host: this.#fleet.host, port: vm.callersPort, user: workspace, password: this.#key, database, connectTimeout: CONNECT_TIMEOUT_MS })
     connection.on('error', () => {})
     this.#connection = connection
-    if (this.#token !== null) await readFirst(connection, `SET @camphorpitch_session = '${this.#token}'`, this.#options.timeoutMs)
+    if (this.#token !== null) await readFirstColumn(connection, `SET @camphorpitch_session = '${this.#token}'`, this.#options.timeoutMs)
   }
 
   override async run (text: string): Promise<string | null> {
     if (this.#connection === null) await this.open()
-    return await readFirst(this.#connection!, text, this.#options.timeoutMs)
+    return await readFirstColumn(this.#connection!, text, this.#options.timeoutMs)
   }
 
   override async move (): Promise<void> {
@@ -70,11 +70,12 @@
 
   async #readToken (): Promise<void> {
     if (this.#connection === null) return
-    this.#token = await readFirst(this.#connection, 'SELECT @camphorpitch_session', this.#options.timeoutMs).catch(() => this.#token)
+    this.#token = await readFirstColumn(this.#connection, 'SELECT @camphorpitch_session', this.#options.timeoutMs).catch(() => this.#token)
   }
 }
 
-async function readFirst (connection: Connection, sql: string, timeout: number): Promise<string | null> {
+/** @returns the first column of the first row, or `null` without rows */
+async function readFirstColumn (connection: Connection, sql: string, timeout: number): Promise<string | null> {
   const [rows] = await connection.query({ sql, timeout })
   if (!Array.isArray(rows)) return null
   const first = (rows as RowDataPacket[])[0]
