--- a/packages/load/src/baseline/naive-target.ts
+++ b/packages/load/src/baseline/naive-target.ts
@@ -2,7 +2,7 @@
 import { createPool, type Pool, type PoolConnection, type RowDataPacket } from 'mysql2/promise'
 import type { Experiment } from '../experiment/schema.ts'
 import type { FleetEndpoint } from '../fleet/start-fleet.ts'
-import { CallerSession, LoadTarget, type SessionOptions } from '../workload/session.ts'
+import { ClientSession, LoadTarget, type SessionOptions } from '../workload/session.ts'
 
 interface NaiveBucket {
   tokens: number
@@ -27,7 +27,7 @@
     this.#endpoints = endpoints
   }
 
-  override async openSession (options: SessionOptions): Promise<CallerSession> {
+  override async openSession (options: SessionOptions): Promise<ClientSession> {
     return new NaiveSession(this, options)
   }
 
@@ -64,7 +64,7 @@
   }
 }
 
-class NaiveSession extends CallerSession {
+class NaiveSession extends ClientSession {
   readonly #target: NaiveTarget
   readonly #options: SessionOptions
   #vmIndex: number
@@ -91,7 +91,7 @@
     return first === undefined ? null : String(Object.values(first)[0])
   }
 
-  override async move (): Promise<void> {
+  override async moveToNextVm (): Promise<void> {
     this.#vmIndex += 1
   }
 
--- a/packages/load/src/bench.ts
+++ b/packages/load/src/bench.ts
@@ -1,6 +1,6 @@
 import { setTimeout as wait } from 'node:timers/promises'
 import { measurePath, readCpuSeconds, type PathResult } from './bench/measure-path.ts'
-import { createWorkspace } from './demo/callers.ts'
+import { createWorkspace } from './demo/workspace-clients.ts'
 import { handleInterrupt } from './fleet/child-process.ts'
 import { startFleet, type Fleet } from './fleet/start-fleet.ts'
 import { createConnection, type PoolOptions } from 'mysql2/promise'
--- a/packages/load/src/benchmarks/callers.ts
+++ b/packages/load/src/benchmarks/idle-clients.ts
@@ -1,11 +1,11 @@
 import { createConnection, type Connection } from 'mysql2/promise'
-import { createWorkspace } from '../demo/callers.ts'
+import { createWorkspace } from '../demo/workspace-clients.ts'
 import { startFleet, type Fleet, type FleetVm } from '../fleet/start-fleet.ts'
 
 /**
  * Measures the memory and CPU time that idle client connections cost a proxy.
  *
- * @example npm run build && node --import=tsx packages/load/src/benchmarks/callers.ts
+ * @example npm run build && node --import=tsx packages/load/src/benchmarks/idle-clients.ts
  */
 
 const WORKSPACE = 'callers'
--- a/packages/load/src/demo.ts
+++ b/packages/load/src/demo.ts
@@ -1,4 +1,4 @@
-import { createWorkspace } from './demo/callers.ts'
+import { createWorkspace } from './demo/workspace-clients.ts'
 import { StepRunner } from './demo/step.ts'
 import { runFailover, runFirstWrite, runWrongKeyLogin, runPlannedStop, runReadThroughAnotherVm, runTransaction, runKeyWithdrawal, type DemoContext } from './demo/steps.ts'
 import { startFleet, type Fleet } from './fleet/start-fleet.ts'
@@ -39,7 +39,7 @@
   let fleet: Fleet | undefined
   try {
     await steps.runStep('start a platform, three instances and three proxies', async () => {
-      fleet = await startFleet({ vms: 3, databases: [DATABASE], onLine: process.env.CAMPHORPITCH_DEMO_LOG === undefined ? undefined : (name, line) => process.stderr.write(`${name} ${JSON.stringify(line)}\n`) })
+      fleet = await startFleet({ vms: 3, databases: [DATABASE], onLogLine: process.env.CAMPHORPITCH_DEMO_LOG === undefined ? undefined : (name, line) => process.stderr.write(`${name} ${JSON.stringify(line)}\n`) })
       return 'as separate processes'
     })
     if (fleet === undefined) return false
--- a/packages/load/src/demo/steps.ts
+++ b/packages/load/src/demo/steps.ts
@@ -2,7 +2,7 @@
 import type { Connection } from 'mysql2/promise'
 import { findPrimary } from '../fleet/find-primary.ts'
 import type { Fleet, FleetEndpoint, FleetVm } from '../fleet/start-fleet.ts'
-import { createKeyRing, openCaller, readValue, runWithRetries, type WorkspaceKey } from './callers.ts'
+import { createKeyRing, openClient, readValue, runWithRetries, type WorkspaceKey } from './workspace-clients.ts'
 import { checkCondition, waitForValue, type StepRunner } from './step.ts'
 
 const READY_TIMEOUT_MS = 15_000
@@ -37,7 +37,7 @@
 }
 
 async function openClientAt (context: DemoContext, index: number): Promise<Connection> {
-  return await openCaller(context.fleet, pickVm(context, index), context.workspace, context.workspaceKey.key, context.database)
+  return await openClient(context.fleet, pickVm(context, index), context.workspace, context.workspaceKey.key, context.database)
 }
 
 /** Counts how often an endpoint has executed exactly this statement. */
@@ -102,7 +102,7 @@
 
 /** Tries to log in with a wrong key and checks that access is denied (MySQL error 1045). */
 export async function runWrongKeyLogin (context: DemoContext): Promise<string> {
-  const errno = await readErrno(openCaller(context.fleet, pickVm(context, 0), context.workspace, 'not-the-key', context.database))
+  const errno = await readErrno(openClient(context.fleet, pickVm(context, 0), context.workspace, 'not-the-key', context.database))
   checkCondition(errno === 1045, `login with a wrong key ended with error ${errno} instead of 1045`)
   return 'error 1045'
 }
--- a/packages/load/src/demo/callers.ts
+++ b/packages/load/src/demo/workspace-clients.ts
@@ -41,7 +41,7 @@
 }
 
 /** Connects a client to one VM. The connection's error events are ignored, as its statements report the loss of the connection. */
-export async function openCaller (fleet: Fleet, vm: FleetVm, workspace: string, key: string, database: string): Promise<Connection> {
+export async function openClient (fleet: Fleet, vm: FleetVm, workspace: string, key: string, database: string): Promise<Connection> {
   const connection = await createConnection({ host: fleet.host, port: vm.callersPort, user: workspace, password: key, database })
   connection.on('error', () => {})
   return connection
--- a/packages/load/src/fleet/start-fleet.ts
+++ b/packages/load/src/fleet/start-fleet.ts
@@ -33,7 +33,7 @@
   /** At least `info`, since a process reports readiness at that level. */
   logLevel?: 'info' | 'debug'
   /** Called with the process's name and each of its log lines. */
-  onLine?: (process: string, line: LogLine) => void
+  onLogLine?: (process: string, line: LogLine) => void
 }
 
 export interface FleetVm {
@@ -181,8 +181,8 @@
   return started
 }
 
-function forwardLogLine ({ onLine }: FleetOptions, name: string, line: LogLine): void {
-  onLine?.(name, line)
+function forwardLogLine ({ onLogLine }: FleetOptions, name: string, line: LogLine): void {
+  onLogLine?.(name, line)
   if (logFilePath !== undefined) appendFileSync(logFilePath, `${JSON.stringify(line)}\n`)
 }
 
--- a/packages/load/src/measures/compute-measures.ts
+++ b/packages/load/src/measures/compute-measures.ts
@@ -1,5 +1,5 @@
 import { build, type Histogram } from 'hdr-histogram-js'
-import { selectWithinRate, type ReferenceRate } from './reference-bucket.ts'
+import { selectWithinRate, type ReferenceRate } from './select-within-rate.ts'
 import type { Sample } from './sample.ts'
 
 const MAX_LATENCY_MICROS = 600_000_000
--- a/packages/load/src/measures/measures.test.ts
+++ b/packages/load/src/measures/measures.test.ts
@@ -3,7 +3,7 @@
 import { classifyError } from '../workload/classify-error.ts'
 import { computeMeasures } from './compute-measures.ts'
 import { checkIntegrity } from './integrity.ts'
-import { selectWithinRate } from './reference-bucket.ts'
+import { selectWithinRate } from './select-within-rate.ts'
 import type { Sample } from './sample.ts'
 import { createTimeSeries } from './time-series.ts'
 
--- a/packages/load/src/scenarios/check-endpoints.ts
+++ b/packages/load/src/scenarios/check-endpoints.ts
@@ -28,7 +28,7 @@
   const violations: Violation[] = []
   for (const e of endpoints) {
     const report = await readJson<{ count: number }>(`${e.controlUrl}/record/bytes?contains=${encodeURIComponent(key)}`)
-    if (report !== null && report.count > 0) violations.push({ promise: 'no endpoint receives a client\'s key', detail: e.endpoint })
+    if (report !== null && report.count > 0) violations.push({ promise: 'no endpoint sees a caller\'s key', detail: e.endpoint })
   }
   return violations
 }
--- a/packages/load/src/scenarios/check-history.ts
+++ b/packages/load/src/scenarios/check-history.ts
@@ -14,10 +14,10 @@
 
 function checkWrite (write: WriteEvent, storedRows: number): Violation[] {
   const detail = `${write.id}: ${write.outcome}, ${storedRows} of ${write.rows} rows${write.reason === '' ? '' : `, ${write.reason}`}`
-  if (storedRows > write.rows) return [{ promise: 'no write is applied twice', detail }]
-  if (storedRows > 0 && storedRows < write.rows) return [{ promise: 'transactions are atomic', detail }]
+  if (storedRows > write.rows) return [{ promise: 'no write is doubled', detail }]
+  if (storedRows > 0 && storedRows < write.rows) return [{ promise: 'transactions are whole', detail }]
   if (write.outcome === 'acknowledged' && storedRows === 0) return [{ promise: 'no acknowledged write is lost', detail }]
-  if (write.outcome === 'not run' && storedRows > 0) return [{ promise: 'a statement refused as not run has no effect', detail }]
+  if (write.outcome === 'not run' && storedRows > 0) return [{ promise: 'a refusal that says not run is true', detail }]
   return []
 }
 
--- a/packages/load/src/scenarios/run-scenario.ts
+++ b/packages/load/src/scenarios/run-scenario.ts
@@ -1,12 +1,12 @@
 import { setTimeout as wait } from 'node:timers/promises'
 import { createConnection, type RowDataPacket } from 'mysql2/promise'
-import { createWorkspace, openCaller } from '../demo/callers.ts'
+import { createWorkspace, openClient } from '../demo/workspace-clients.ts'
 import { ExperimentError } from '../experiment/errors.ts'
 import type { Fault } from '../experiment/schema.ts'
-import { injectFault } from '../faults/run-fault.ts'
+import { injectFault } from '../faults/inject-fault.ts'
 import { startFleet, type Fleet } from '../fleet/start-fleet.ts'
 import { ReadCounter } from '../measures/read-counter.ts'
-import { ENTRIES_TABLE, NONCE_PREFIX, PAIRS_TABLE, runScenarioClient } from './caller.ts'
+import { ENTRIES_TABLE, NONCE_PREFIX, PAIRS_TABLE, runScenarioClient } from './scenario-client.ts'
 import { checkKeyLeaks, checkLeavingEndpoints, PeakConnectionRecorder } from './check-endpoints.ts'
 import { checkWrites, computeMaxWriteGapMs } from './check-history.ts'
 import { createHistory, type History, type Violation, type WriteOutcome } from './history.ts'
@@ -111,7 +111,7 @@
 function checkExpectations (history: History, { expect }: Scenario, replicaReads: number): Violation[] {
   const violations: Violation[] = []
   if (expect.minReplicaReads !== undefined && replicaReads < expect.minReplicaReads) violations.push({ promise: 'reads served by replicas', detail: `${replicaReads}, expected at least ${expect.minReplicaReads}` })
-  if (expect.noFailures) violations.push(...history.failures.map(detail => ({ promise: 'no statement is refused or interrupted', detail })))
+  if (expect.noFailures) violations.push(...history.failures.map(detail => ({ promise: 'no statement is refused or cut', detail })))
   return violations
 }
 
@@ -150,7 +150,7 @@
 
 async function createTables ({ fleet, key }: ScenarioRun): Promise<void> {
   for (const vm of fleet.vms) {
-    const connection = await retryUntilSuccess(async () => await openCaller(fleet, vm, WORKSPACE, key, DATABASE))
+    const connection = await retryUntilSuccess(async () => await openClient(fleet, vm, WORKSPACE, key, DATABASE))
     await retryUntilSuccess(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${ENTRIES_TABLE} (id TEXT, caller INTEGER, sequence INTEGER)`))
     await retryUntilSuccess(async () => await connection.query(`CREATE TABLE IF NOT EXISTS ${PAIRS_TABLE} (id TEXT, half INTEGER)`))
     await connection.end()
--- a/packages/load/src/scenarios/caller.ts
+++ b/packages/load/src/scenarios/scenario-client.ts
@@ -191,7 +191,7 @@
     const row = rows[0] as { nonce: string, n: number, latest: number }
     checkRead(options, state, row, nonce, acknowledgedBeforeRead)
     const [incompletePairs] = await connection.query<RowDataPacket[]>(`SELECT id, count(*) AS n FROM ${PAIRS_TABLE} GROUP BY id HAVING count(*) <> 2`)
-    for (const pair of incompletePairs) options.history.violations.push({ promise: 'transactions are atomic', detail: `a reader saw ${pair.n} rows of ${pair.id}` })
+    for (const pair of incompletePairs) options.history.violations.push({ promise: 'transactions are whole', detail: `a reader saw ${pair.n} rows of ${pair.id}` })
     options.history.reads += 2
   } catch (error) {
     handleError(options, state, error)
@@ -200,7 +200,7 @@
 
 function checkRead (options: ScenarioClientOptions, state: ClientState, row: { nonce: string, n: number, latest: number }, nonce: string, acknowledged: number): void {
   const { violations } = options.history
-  if (row.nonce !== nonce) violations.push({ promise: 'each response belongs to its request', detail: `the response to ${nonce} holds ${row.nonce}` })
+  if (row.nonce !== nonce) violations.push({ promise: 'answers reach their own request', detail: `the response to ${nonce} holds ${row.nonce}` })
   if (Number(row.n) < acknowledged) violations.push({ promise: 'read your writes', detail: `client ${options.index} read ${row.n} of ${acknowledged} acknowledged writes` })
   if (Number(row.latest) < state.highestReadSequence) violations.push({ promise: 'monotonic reads', detail: `client ${options.index} read up to sequence ${row.latest} after it had read up to ${state.highestReadSequence}` })
   state.highestReadSequence = Math.max(state.highestReadSequence, Number(row.latest))
--- a/packages/load/src/scenarios/scenarios.test.ts
+++ b/packages/load/src/scenarios/scenarios.test.ts
@@ -19,9 +19,9 @@
   it('find writes that are lost, applied twice, partly stored, or stored although refused as not run', () => {
     const findBrokenPromises = (outcome: WriteOutcome, rows: number, stored: number) => checkWrites(makeHistory(outcome, rows), new Map([['a', stored]])).map(v => v.promise)
     expect(findBrokenPromises('acknowledged', 1, 0)).to.deep.equal(['no acknowledged write is lost'])
-    expect(findBrokenPromises('unknown', 1, 2)).to.deep.equal(['no write is applied twice'])
-    expect(findBrokenPromises('unknown', 2, 1)).to.deep.equal(['transactions are atomic'])
-    expect(findBrokenPromises('not run', 1, 1)).to.deep.equal(['a statement refused as not run has no effect'])
+    expect(findBrokenPromises('unknown', 1, 2)).to.deep.equal(['no write is doubled'])
+    expect(findBrokenPromises('unknown', 2, 1)).to.deep.equal(['transactions are whole'])
+    expect(findBrokenPromises('not run', 1, 1)).to.deep.equal(['a refusal that says not run is true'])
     for (const stored of [0, 1]) expect(findBrokenPromises('unknown', 1, stored)).to.deep.equal([])
   })
 
--- a/packages/load/src/workload/proxy-target.ts
+++ b/packages/load/src/workload/proxy-target.ts
@@ -1,7 +1,7 @@
 import { createConnection, type Connection, type RowDataPacket } from 'mysql2/promise'
 import { ExperimentError } from '../experiment/errors.ts'
 import type { Fleet } from '../fleet/start-fleet.ts'
-import { CallerSession, LoadTarget, type SessionOptions } from './session.ts'
+import { ClientSession, LoadTarget, type SessionOptions } from './session.ts'
 
 const CONNECT_TIMEOUT_MS = 5_000
 
@@ -16,7 +16,7 @@
     this.#keys = keys
   }
 
-  override async openSession (options: SessionOptions): Promise<CallerSession> {
+  override async openSession (options: SessionOptions): Promise<ClientSession> {
     const key = this.#keys.get(options.workspace)
     if (key === undefined) throw new ExperimentError(`no key for workspace ${options.workspace}`)
     const session = new ProxySession(this.#fleet, key, options)
@@ -25,7 +25,7 @@
   }
 }
 
-class ProxySession extends CallerSession {
+class ProxySession extends ClientSession {
   readonly #fleet: Fleet
   readonly #key: string
   readonly #options: SessionOptions
@@ -56,7 +56,7 @@
     return await readFirstColumn(this.#connection!, text, this.#options.timeoutMs)
   }
 
-  override async move (): Promise<void> {
+  override async moveToNextVm (): Promise<void> {
     await this.#readToken()
     this.close()
     this.#vmIndex += 1
--- a/packages/load/src/workload/session.ts
+++ b/packages/load/src/workload/session.ts
@@ -1,9 +1,9 @@
 /** A client's session with the system under load. */
-export abstract class CallerSession {
+export abstract class ClientSession {
   /** Runs one statement and resolves to the first column of its first row, or `null`. */
   abstract run (text: string): Promise<string | null>
   /** Continues the session at the next VM, with its session token. */
-  abstract move (): Promise<void>
+  abstract moveToNextVm (): Promise<void>
   abstract close (): void
 }
 
@@ -18,5 +18,5 @@
 
 /** The system under load: the fleet's proxies, or the naive baseline. */
 export abstract class LoadTarget {
-  abstract openSession (options: SessionOptions): Promise<CallerSession>
+  abstract openSession (options: SessionOptions): Promise<ClientSession>
 }
--- a/packages/load/src/workload/caller.ts
+++ b/packages/load/src/workload/workload-client.ts
@@ -2,7 +2,7 @@
 import type { Experiment, WorkspaceLoad } from '../experiment/schema.ts'
 import type { OperationKind, Sample } from '../measures/sample.ts'
 import { classifyError, type ClassifiedError } from './classify-error.ts'
-import type { CallerSession, LoadTarget } from './session.ts'
+import type { ClientSession, LoadTarget } from './session.ts'
 import { formatInsert, formatRead, formatUpdate } from './statements.ts'
 
 /** Wait after a lost connection before the client connects again. */
@@ -25,7 +25,7 @@
 }
 
 interface ClientState {
-  session: CallerSession | null
+  session: ClientSession | null
   lastWrite: { id: string, quantity: number } | null
   operations: number
 }
@@ -108,7 +108,7 @@
 }
 
 /** Opens a session if there is none, or moves it to the next VM after `operationsPerVm` operations. */
-async function ensureSession (options: ClientOptions, state: ClientState): Promise<CallerSession> {
+async function ensureSession (options: ClientOptions, state: ClientState): Promise<ClientSession> {
   const { target, workspace, index, experiment } = options
   const { operationsPerVm } = experiment.load
   state.operations += 1
@@ -116,7 +116,7 @@
     state.session = await target.openSession({ workspace: workspace.workspace, database: pickDatabase(options), vmIndex: index + state.operations, timeoutMs: experiment.load.timeoutMs })
     if (experiment.load.maxAgeMs > 0) await state.session.run(`SET @camphorpitch_max_age_ms = ${experiment.load.maxAgeMs}`)
   } else if (operationsPerVm > 0 && state.operations % operationsPerVm === 0) {
-    await state.session.move()
+    await state.session.moveToNextVm()
   }
   return state.session
 }
