--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -206,12 +206,12 @@
   if (outcome === 'written') return
   if (outcome === 'failed') {
     state.retryAtMs = nowMs + WRITE_RETRY_MS
-    for (const h of state.localShares.values()) if (h.handover?.uncertainBaseVersion === null) h.handover = null
+    for (const localShare of state.localShares.values()) if (localShare.handover?.uncertainBaseVersion === null) localShare.handover = null
     return
   }
   state.needsRead = true
   state.retryAtMs = nowMs + hashName(`${state.self.vm}/${nowMs}`) % CONFLICT_JITTER_MS
-  for (const h of state.localShares.values()) if (h.handover !== null) h.handover.uncertainBaseVersion = state.owners?.version ?? 0
+  for (const localShare of state.localShares.values()) if (localShare.handover !== null) localShare.handover.uncertainBaseVersion = state.owners?.version ?? 0
 }
 
 /** When `planAssignment` may next have something to do; infinite while nothing needs to change. */
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -203,7 +203,7 @@
 /** A new owner counts at once, although the previous owner may still count. */
 const decideWithoutTakeoverWait: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
-  for (const h of step.state.ownership.localShares.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
+  for (const localShare of step.state.ownership.localShares.values()) localShare.readyAtMs = Math.min(localShare.readyAtMs, nowMs)
   return step
 }
 
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -43,7 +43,7 @@
 interface TestVm {
   limiter: RunningLimiter
   peers: WsPeerNetwork
-  shut: () => Promise<void>
+  stop: () => Promise<void>
 }
 
 async function startVm (index: number, membership: FixedMembership, platform: RunningPlatform, logger: Logger): Promise<TestVm> {
@@ -67,7 +67,7 @@
   return {
     limiter,
     peers,
-    shut: async () => {
+    stop: async () => {
       stop(system)
       await peers.stop()
     }
@@ -119,7 +119,7 @@
 
     await vms[0]!.limiter.stop()
     await waitUntil(() => countCountedShares(vms.slice(1), clock) === SHARE_TOTAL)
-    for (const vm of vms) await vm.shut()
+    for (const vm of vms) await vm.stop()
     await platform.close()
   })
 })
