--- a/packages/proxy/src/failover/durability-watch.ts
+++ b/packages/proxy/src/failover/durability-watch.ts
@@ -7,7 +7,7 @@
 /** Time beyond that in which the response must arrive. */
 const RESPONSE_MARGIN_MS = 500
 /** Pause after a failed `GROUP WAIT`. */
-const RETRY_INTERVAL_MS = 50
+const WAIT_RETRY_DELAY_MS = 50
 
 export interface DurabilityWatchOptions {
   connections: ReadonlyMap<string, ControlConnection>
@@ -45,7 +45,7 @@
     polledInstances.add(instance)
     for (let next = findNextAwaitedPosition(state, instance); next !== undefined; next = findNextAwaitedPosition(state, instance)) {
       const report = await requestLogReport(connections.get(instance)!, next)
-      if (report === null) await new Promise(resolve => setTimeout(resolve, RETRY_INTERVAL_MS))
+      if (report === null) await new Promise(resolve => setTimeout(resolve, WAIT_RETRY_DELAY_MS))
       else resolveWaits(recordReport(state, instance, report))
     }
     polledInstances.delete(instance)
--- a/packages/proxy/src/failover/start-group-view.ts
+++ b/packages/proxy/src/failover/start-group-view.ts
@@ -19,7 +19,7 @@
 const COMMAND_TIMEOUT_MS = 1_000
 const PROMOTER_ID_RANDOM_BYTES = 6
 /** Rank of a VM that is not among those that serve the database; it promotes after those with a lower rank. */
-const RANK_WITHOUT_PLACE = 5
+const NON_SERVING_VM_RANK = 5
 
 export interface GroupViewOptions {
   system: ActorSystemRef
@@ -80,7 +80,7 @@
     const { endpoints } = database
     this.#connections = new Map(endpoints.map(e => [e.endpoint, this.#createConnections(e.endpoint)]))
     const initialState = createFailoverState({ database: database.database, endpoints, promoterId: createPromoterId(vm, incarnation), seed, nowMs: clock.readNow(), timings })
-    this.#durabilityWatch = startDurabilityWatch({ connections: new Map([...this.#connections].map(([name, l]) => [name, l.durabilityConnection])), quorumSize: initialState.quorumSize })
+    this.#durabilityWatch = startDurabilityWatch({ connections: new Map([...this.#connections].map(([name, connections]) => [name, connections.durabilityConnection])), quorumSize: initialState.quorumSize })
     const actor = spawnSlice<FailoverState, FailoverMessage, FailoverEffect>({
       system, name: `failover-${database.database}`, clock, logger, initialState, decide: decideFailover, runEffect: e => { this.#runEffect(e) }
     })
@@ -125,7 +125,7 @@
         else if (pendingProbeCount + positions.length < quorumSize) rejectWithoutQuorum()
         if (positions.length >= quorumSize || pendingProbeCount === 0) clearTimeout(timer)
       }
-      for (const l of this.#connections.values()) l.probe().then(handleProbeResult, () => { handleProbeResult(null) })
+      for (const connections of this.#connections.values()) connections.probe().then(handleProbeResult, () => { handleProbeResult(null) })
     })
   }
 
@@ -164,7 +164,7 @@
 
   #tick (): void {
     const rank = this.#options.readRank?.() ?? 0
-    this.#tell({ type: 'tick', rank: rank < 0 ? RANK_WITHOUT_PLACE : rank })
+    this.#tell({ type: 'tick', rank: rank < 0 ? NON_SERVING_VM_RANK : rank })
     if (isPrimarySuspected(this.#readState(), this.#options.clock.readNow())) this.#probeAll()
   }
 
@@ -174,7 +174,7 @@
   }
 
   #probeAll (): void {
-    for (const l of this.#connections.values()) l.probe().catch(() => {})
+    for (const connections of this.#connections.values()) connections.probe().catch(() => {})
   }
 
   async #probe (endpoint: string): Promise<InstanceStatus> {
@@ -201,7 +201,7 @@
   #runEffect (effect: FailoverEffect): void {
     if (this.#isStopped) return
     if (effect.type === 'changed') {
-      for (const l of this.#listeners) l()
+      for (const listener of this.#listeners) listener()
       return
     }
     if (effect.type === 'log') {
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -48,7 +48,7 @@
   recoveredAfterMs: number | null
 }
 
-const TICK_MS = 50
+const TICK_INTERVAL_MS = 50
 const WRITE_INTERVAL_MS = 100
 const REPLICATION_INTERVAL_MS = 30
 const DURABILITY_POLL_INTERVAL_MS = 25
@@ -129,7 +129,7 @@
       }, isCurrent)
     }
     let round = 0
-    scheduleOnVm(TICK_MS, () => {
+    scheduleOnVm(TICK_INTERVAL_MS, () => {
       this.#tell(vm, { type: 'tick', rank: index })
       if (isPrimarySuspected(vm.failover, this.#nowMs)) this.#probeAll(vm, listProbedInstances(vm.failover))
     })
