--- a/packages/proxy/src/configuration/configuration.test.ts
+++ b/packages/proxy/src/configuration/configuration.test.ts
@@ -48,8 +48,8 @@
 type FaultEvent = typeof eventArbitrary extends fc.Arbitrary<infer T> ? T : never
 const scenarioArbitrary = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
-  lossRate: fc.constantFrom(0, 0.1, 0.3),
-  duplicateRate: fc.constantFrom(0, 0.3),
+  lossFraction: fc.constantFrom(0, 0.1, 0.3),
+  duplicateFraction: fc.constantFrom(0, 0.3),
   historyLength: fc.constantFrom(2, 1_000),
   events: fc.array(eventArbitrary, { minLength: 1, maxLength: 24 })
 })
@@ -205,7 +205,7 @@
     decide,
     onPublish: (vm, object, previous) => checker.recordApplied(vm, object, previous, fleet.nowMs)
   })
-  Object.assign(fleet, { lossRate: scenario.lossRate, duplicateRate: scenario.duplicateRate })
+  Object.assign(fleet, { lossFraction: scenario.lossFraction, duplicateFraction: scenario.duplicateFraction })
   const stops = new Map<string, { atMs: number, hadMajority: boolean }>()
   for (const e of events) {
     fleet.schedule(1_000 + e.atMs, () => {
--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -46,7 +46,7 @@
       return problem
     }
     this.#invalidKeys.delete(key)
-    for (const l of this.#listeners) l(object.kind, object.name)
+    for (const listener of this.#listeners) listener(object.kind, object.name)
     return null
   }
 
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -38,8 +38,8 @@
   readonly vms: FakeVm[] = []
   readonly service: FakeObjectService
   nowMs = 0
-  lossRate = 0
-  duplicateRate = 0
+  lossFraction = 0
+  duplicateFraction = 0
   /** Pairs `a|b` of VMs that cannot reach each other; each pair is in the set in both orders. */
   readonly cutLinks = new Set<string>()
   /** VMs that cannot reach the object service. */
@@ -155,9 +155,9 @@
 
   #send (from: FakeVm, to: string, body: Extract<ConfigurationEffect, { type: 'send' }>['body']): void {
     this.#options.handleSend?.(from, to, body)
-    const copies = this.#random() < this.duplicateRate ? 2 : 1
+    const copies = this.#random() < this.duplicateFraction ? 2 : 1
     for (let i = 0; i < copies; i++) {
-      if (this.#random() < this.lossRate || this.cutLinks.has(`${from.name}|${to}`)) continue
+      if (this.#random() < this.lossFraction || this.cutLinks.has(`${from.name}|${to}`)) continue
       const receiver = this.vms[Number(to.slice(3))]
       const delayMs = 1 + this.#random() * MAX_MESSAGE_DELAY_MS
       if (receiver !== undefined) this.schedule(delayMs, () => this.#deliver(receiver, { type: 'peer', from: from.name, body }))
