--- a/packages/proxy/src/keys/key-use.ts
+++ b/packages/proxy/src/keys/key-use.ts
@@ -3,7 +3,7 @@
 import { verifyKey } from './verify-key.ts'
 
 /** Time after which a client may retry on a VM that is cut off, in milliseconds. */
-const CUT_OFF_RETRY_DELAY_MS = 1_000
+const CUT_OFF_RETRY_AFTER_MS = 1_000
 
 /** What identifies the client of an open connection. */
 export interface ConnectedClient {
@@ -35,7 +35,7 @@
   const keyRing = configuration.findKeyRing(workspace)
   if (keyRing?.keys.some(k => k.id === keyId) !== true) return refuseUse('the key was withdrawn')
   if (configuration.isCurrent()) return { isAllowed: true }
-  const refusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is cut off and cannot check the key', retryAfterMs: CUT_OFF_RETRY_DELAY_MS }
+  const refusal: Refusal = { kind: 'notRunRetry', reason: 'this VM is cut off and cannot check the key', retryAfterMs: CUT_OFF_RETRY_AFTER_MS }
   return { isAllowed: false, refusal, closesConnection: false }
 }
 
--- a/packages/proxy/src/routing/select-read-target.test.ts
+++ b/packages/proxy/src/routing/select-read-target.test.ts
@@ -46,8 +46,8 @@
   readonly #acknowledged: Entry[] = []
   #nowMs = 0
   #lastId = 0
-  answeredReads = 0
-  answeredByReplica = 0
+  servedReads = 0
+  readsServedByReplica = 0
 
   constructor (select: Selector, hasReadConfirmation: boolean) {
     this.#select = select
@@ -87,9 +87,9 @@
     }
     for (const i of this.#instances) this.#probe(this.#vms[0]!, i)
     for (const s of this.#sessions) {
-      const answeredBefore = this.answeredReads
+      const answeredBefore = this.servedReads
       this.#read(s, this.#vms[0]!, 0)
-      expect(this.answeredReads, 'no instance will ever hold what the session saw').to.equal(answeredBefore + 1)
+      expect(this.servedReads, 'no instance will ever hold what the session saw').to.equal(answeredBefore + 1)
     }
   }
 
@@ -183,8 +183,8 @@
     const status = readStatus(instance)
     const isConfirmed = target.isPrimary ? isLastAppliedOfCurrentTerm(status) && (status.applied.index === 0 || this.#isDurable(status.applied)) : isReplicaOfCurrentTerm(status)
     if (this.#hasReadConfirmation && !isConfirmed) return
-    this.answeredReads++
-    if (!target.isPrimary) this.answeredByReplica++
+    this.servedReads++
+    if (!target.isPrimary) this.readsServedByReplica++
     this.#checkRead(session, instance, isStale ? maxAgeMs : null)
     if (isStale) return
     for (const e of instance.log.slice(0, instance.applied)) session.seenIds.add(e.id)
@@ -208,8 +208,8 @@
     const simulatedGroup = new SimulatedGroup(select, hasReadConfirmation)
     for (const a of actions) simulatedGroup.applyAction(a)
     simulatedGroup.checkAfterRecovery()
-    totals.answered += simulatedGroup.answeredReads
-    totals.fromReplicas += simulatedGroup.answeredByReplica
+    totals.answered += simulatedGroup.servedReads
+    totals.fromReplicas += simulatedGroup.readsServedByReplica
   }), { numRuns: 2_000, seed: 23, includeErrorInReport: true })
   return totals
 }
--- a/packages/proxy/src/serving/database-service.test.ts
+++ b/packages/proxy/src/serving/database-service.test.ts
@@ -13,7 +13,7 @@
 
 const clock = new MonotonicClock()
 const logger = createLogger({ process: 'test', level: 'silent' })
-const POLL_MS = 2
+const POLL_INTERVAL_MS = 2
 
 function sleepMs (ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms))
@@ -37,7 +37,7 @@
 
   refresh (): void {
     for (const i of this.instances) this.lastProbes.set(i.instance, { status: i.member.readStatus(), probedAtMs: clock.readNow() })
-    for (const l of this.listeners) l()
+    for (const listener of this.listeners) listener()
   }
 
   override listInstances (): readonly InstanceView[] {
@@ -76,7 +76,7 @@
         return state.term === position.term && hasReached(status, [[position.term, 1]], position)
       })
       if (holders.length >= 2) return true
-      await sleepMs(POLL_MS)
+      await sleepMs(POLL_INTERVAL_MS)
     }
     return false
   }
@@ -451,7 +451,7 @@
     const transactionId = await begin()
     await Promise.all(Array.from({ length: 12 }, () => run('INSERT INTO t VALUES (1)')))
     placement.share = 1
-    for (const l of placement.listeners) l()
+    for (const listener of placement.listeners) listener()
     await waitUntil(() => instances[0]!.record.countConnections() <= 1)
     let isDrained = false
     const drained = service.drain().then(() => { isDrained = true })
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -29,7 +29,7 @@
 }
 
 /** Time after which a client may retry while this VM has no session secret, in milliseconds. */
-const SECRET_RETRY_DELAY_MS = 1_000
+const MISSING_SECRET_RETRY_AFTER_MS = 1_000
 
 /** Decides what to do for a statement. Commands to the proxy itself change the session immediately. */
 export function decideCommand (session: SessionState, text: string, context: CommandContext): CommandDecision {
@@ -71,7 +71,7 @@
 }
 
 function refuseUntilSecretKnown (): CommandDecision {
-  return { kind: 'refuse', refusal: { kind: 'notRunRetry', reason: 'the fleet has no session secret yet', retryAfterMs: SECRET_RETRY_DELAY_MS } }
+  return { kind: 'refuse', refusal: { kind: 'notRunRetry', reason: 'the fleet has no session secret yet', retryAfterMs: MISSING_SECRET_RETRY_AFTER_MS } }
 }
 
 function readSession (session: SessionState, secret: FleetSecret | undefined): CommandDecision {
