--- a/packages/proxy/src/retries/run-named-write.ts
+++ b/packages/proxy/src/retries/run-named-write.ts
@@ -12,7 +12,7 @@
 import { formatRecordCleanup, formatRecordInsert, formatRecordQuery, formatRecordTableCreation, formatRecordUpdate, hashStatement, hashWriteName, isDuplicateKey, isMissingTable, parseRecord } from './write-record.ts'
 
 /** Longest wait between two attempts, and the retry-after time of refusals. */
-const RETRY_INTERVAL_MS = 50
+const RETRY_DELAY_MS = 50
 /** One in so many named writes also deletes the records that are past their retention. */
 const WRITES_PER_RECORD_CLEANUP = 1_000
 
@@ -37,12 +37,12 @@
 
 let namedWriteCount = 0
 
-function createAnswer (frame: ResponseFrame): AttemptOutcome {
+function createFinalOutcome (frame: ResponseFrame): AttemptOutcome {
   return { kind: 'answer', frame }
 }
 
 function createRefusal (kind: Refusal['kind'], reason: string): ResponseFrame {
-  return makeRefusal(kind, reason, kind === 'notRunRetry' ? RETRY_INTERVAL_MS : undefined)
+  return makeRefusal(kind, reason, kind === 'notRunRetry' ? RETRY_DELAY_MS : undefined)
 }
 
 /** One attempt of a named write, on one connection to the primary. */
@@ -84,7 +84,7 @@
     if (insertResult.failure !== null) return await this.#handleRecordInsertFailure(insertResult.failure)
     const writeResult = await this.#send(text)
     if (writeResult.failure !== null) return await this.#rollBack(this.#convertFailure(writeResult.failure))
-    if (writeResult.header === null) return await this.#rollBack(createAnswer(createRefusal('notRunDenied', 'a named write may not return rows')))
+    if (writeResult.header === null) return await this.#rollBack(createFinalOutcome(createRefusal('notRunDenied', 'a named write may not return rows')))
     const updateSql = formatRecordUpdate(this.#recordId, writeResult.header.affectedRows, writeResult.header.insertId)
     if (updateSql !== null) {
       const updateResult = await this.#send(updateSql)
@@ -101,27 +101,27 @@
     await this.#send('ROLLBACK')
     if (isMissingTable(failure.errno)) return { kind: 'noTable' }
     if (!isDuplicateKey(failure.errno)) return { kind: 'notRun', frame: failure }
-    return await this.#answerFromRecord()
+    return await this.#respondFromRecord()
   }
 
   /** Answers from the record of the earlier attempt that committed. */
-  async #answerFromRecord (): Promise<AttemptOutcome> {
+  async #respondFromRecord (): Promise<AttemptOutcome> {
     const { rows } = await this.#send(formatRecordQuery(this.#recordId))
     const row = rows[0]
     if (row === undefined) return { kind: 'notRun', frame: createRefusal('notRunRetry', 'the record of the write is gone') }
     const record = parseRecord(row)
     if (record.statement !== hashStatement(this.#request.text)) {
-      return createAnswer(createRefusal('notRunDenied', 'the request id was used for another statement'))
+      return createFinalOutcome(createRefusal('notRunDenied', 'the request id was used for another statement'))
     }
     const position = await confirmVisibleOnPrimary(this.#context, this.#request, this.#endpoint)
     if (position === null) return { kind: 'inDoubt', reason: 'the recorded outcome was not confirmed by a second instance in time' }
     logRoutingDecision(this.#context, this.#request, this.#endpoint, 'outcome found by request id')
-    return createAnswer({ kind: 'ok', affectedRows: record.affectedRows, insertId: record.insertId, position, transactionId: null })
+    return createFinalOutcome({ kind: 'ok', affectedRows: record.affectedRows, insertId: record.insertId, position, transactionId: null })
   }
 
   #convertFailure (failure: NonNullable<StatementResult['failure']>): AttemptOutcome {
     if (isNotRunError(failure.errno)) return { kind: 'notRun', frame: createRefusal('notRunRetry', failure.message) }
-    return createAnswer(failure)
+    return createFinalOutcome(failure)
   }
 
   async #rollBack (outcome: AttemptOutcome): Promise<AttemptOutcome> {
@@ -154,7 +154,7 @@
     ? await confirmVisibleOnPrimary(context, request, endpoint)
     : await confirmCommit(context, request, result.position)
   if (position === null) return { kind: 'inDoubt', reason: 'the write was not confirmed by a second instance in time' }
-  return createAnswer({ kind: 'ok', affectedRows, insertId, position, transactionId: null })
+  return createFinalOutcome({ kind: 'ok', affectedRows, insertId, position, transactionId: null })
 }
 
 /** Runs an attempt; when the table of write records is missing, creates it and runs another one. */
@@ -177,7 +177,7 @@
 }
 
 /** The answer when no further attempt is made. Once any attempt was in doubt, the outcome is unknown. */
-function createFinalFrame (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): ResponseFrame {
+function createFinalResponse (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): ResponseFrame {
   if (inDoubtReason !== null) return createRefusal('outcomeUnknown', `${inDoubtReason}; the same request id may be repeated`)
   if (outcome.kind === 'notRun' || outcome.kind === 'notSent') return outcome.frame
   return createRefusal('notRunRetry', 'the table of write records is missing')
@@ -205,9 +205,9 @@
     if (outcome.kind === 'inDoubt') inDoubtReason = outcome.reason
     const canRetry = outcome.kind === 'notSent' ? !outcome.isOverload : spendRetry(context.retryBudget)
     if (computeTimeLeftMs(context, request) <= 0 || !canRetry) {
-      yield createFinalFrame(outcome, inDoubtReason)
+      yield createFinalResponse(outcome, inDoubtReason)
       return
     }
-    await context.waitForChange(Math.min(RETRY_INTERVAL_MS, Math.max(1, computeTimeLeftMs(context, request))))
+    await context.waitForChange(Math.min(RETRY_DELAY_MS, Math.max(1, computeTimeLeftMs(context, request))))
   }
 }
