--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -12,7 +12,7 @@
 const STARTUP_SETTLE_MS = 1_000
 /**
  * How long the first assignment waits for VMs on the platform's list that have not joined. Without the wait, a VM that starts
- * early could become the only witness, and that one may be lost for good.
+ * early could become the only witness, and a single witness may be lost permanently.
  */
 const INITIAL_JOIN_TIMEOUT_MS = 5_000
 /** The same wait on a VM that knows no other VM when the list names none either, as the list may lag behind. */
--- a/packages/proxy/src/limits/limiter.ts
+++ b/packages/proxy/src/limits/limiter.ts
@@ -6,7 +6,7 @@
   /**
    * Requests admission of one statement of the workspace.
    *
-   * Resolves within `timeoutMs`. A refusal is final for this request; its `retryAfterMs` says when to retry.
+   * Resolves within `timeoutMs` and never rejects. A refusal is final for this request; its `retryAfterMs` says when to retry.
    */
   abstract admit (workspace: string, timeoutMs: number): Promise<Admission>
 }
--- a/packages/proxy/src/limits/limits-liveness.test.ts
+++ b/packages/proxy/src/limits/limits-liveness.test.ts
@@ -5,6 +5,7 @@
 import { computeLoadResult, startMovingLoad } from './virtual-load.ts'
 
 const VM_COUNT = 9
+/** 64 partitions with 3 shares each. */
 const SHARE_TOTAL = 192
 const WARM_UP_MS = 5_000
 const MAX_WRONGFUL_FRACTION = 0.001
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -7,7 +7,7 @@
 
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
-/** Long runs override these through the environment; see docs/decisions/limits.md. */
+/** The environment variables set the number and the seed of the runs; a failed property prints its seed. */
 const RUNS = Number(process.env.LIMITS_RUNS ?? 1_000)
 const SEED = Number(process.env.LIMITS_SEED ?? 20_261)
 const VM_COUNT = 5
--- a/packages/proxy/src/limits/messages.ts
+++ b/packages/proxy/src/limits/messages.ts
@@ -45,7 +45,7 @@
   available: z.number(),
   /** Time until the owner expects to have a token; 0 when it has one now. */
   retryAfterMs: z.number().nonnegative(),
-  /** False when the responding VM does not own the share or may not count it at present. */
+  /** False when the responding VM does not own the share, may not count it at present, or knows no limit for it. */
   counting: z.boolean()
 })
 export type Grant = z.infer<typeof grantSchema>
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -9,6 +9,7 @@
 import { startLimiter, type RunningLimiter } from './start-limiter.ts'
 
 const VM_COUNT = 3
+/** 64 partitions with 3 shares each. */
 const SHARE_TOTAL = 192
 const contract: Contract = {
   workspace: 'brasswind',
--- a/packages/proxy/src/limits/virtual-fleet.ts
+++ b/packages/proxy/src/limits/virtual-fleet.ts
@@ -75,16 +75,16 @@
   extraDelayMs: number
 }
 
-/** How the object service behaves; with `answers-lost`, most callers see a failure although the call took effect. */
+/** How the object service behaves; with `answers-lost`, most calls end with a failure although they took effect. */
 export type ServiceMode = 'up' | 'down' | 'slow' | 'answers-lost'
 
 export interface VirtualVm {
   vm: string
   failureDomain: string
   incarnation: number
-  /** Offset of this VM's clock from the virtual time. */
+  /** Offset of this VM's clock from the simulated time. */
   clockOffsetMs: number
-  /** Milliseconds of this VM's clock in a millisecond of virtual time. */
+  /** Milliseconds of this VM's clock in a millisecond of simulated time. */
   clockSpeed: number
   /** `null` while the VM's process does not run. */
   state: LimitState | null
@@ -111,7 +111,7 @@
   decide?: Decide<LimitState, LimitInput, LimitEffect>
   /** One-way latency between failure domains. */
   latencyMs?: number
-  /** Largest deviation of a VM's clock speed from virtual time, as a fraction. */
+  /** Largest deviation of a VM's clock speed from simulated time, as a fraction. */
   clockDrift?: number
   handleSend?: (from: string, to: string, effect: Extract<LimitEffect, { type: 'send' }>) => void
 }
