--- a/packages/proxy/src/failover/start-group-view.ts
+++ b/packages/proxy/src/failover/start-group-view.ts
@@ -29,7 +29,7 @@
   /** Name of this VM and number of its current run, for logs; safety does not depend on them. */
   vm: string
   incarnation: number
-  /** This VM's place among those that serve the database; 0 promotes first, a negative number means that it has no place. */
+  /** This VM's place among those that serve the database; 0 promotes first, a negative number means that it does not serve it. */
   readRank?: () => number
   /** Seed of the backoff between elections. */
   seed?: number
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -44,7 +44,7 @@
   /** Number of acknowledged writes. */
   acknowledged: number
   promotionCount: number
-  /** Virtual milliseconds from the end of the last fault to the acknowledgement of the first write begun after it; `null` for none. */
+  /** Simulated milliseconds from the end of the last fault to the acknowledgement of the first write begun after it; `null` for none. */
   recoveredAfterMs: number | null
 }
 
