--- a/packages/proxy/src/pool/endpoint-connection.ts
+++ b/packages/proxy/src/pool/endpoint-connection.ts
@@ -14,8 +14,9 @@
 export interface EndpointConnection {
   readonly endpoint: string
   /**
-   * Runs one statement and yields the parts of its response. The connection is closed when the
-   * generator is ended early or the statement does not complete.
+   * Runs one statement and yields the parts of its response. An error that the endpoint returns is
+   * yielded as a `failed` part. The connection is closed when the generator is ended early or the
+   * statement does not complete.
    *
    * @throws ConnectionLostError when the connection ends before the response is complete, or has ended already
    * @throws StatementTimeoutError when the response is not complete after `timeoutMs`
--- a/packages/proxy/src/retries/run-named-write.ts
+++ b/packages/proxy/src/retries/run-named-write.ts
@@ -23,7 +23,7 @@
   failure: Extract<ResultPart, { kind: 'failed' }> | null
 }
 
-/** How one attempt ended: with the final answer for the client, or with what the answer is based on when no further attempt is made. */
+/** How one attempt ended: with the final response for the client, or with what the response is based on when no further attempt is made. */
 type AttemptOutcome =
   | { kind: 'answer', frame: ResponseFrame }
   /** The write was rolled back or not begun. */
@@ -104,7 +104,7 @@
     return await this.#respondFromRecord()
   }
 
-  /** Answers from the record of the earlier attempt that committed. */
+  /** Creates the response from the record of the earlier attempt that committed. */
   async #respondFromRecord (): Promise<AttemptOutcome> {
     const { rows } = await this.#send(formatRecordQuery(this.#recordId))
     const row = rows[0]
@@ -176,7 +176,7 @@
   return outcome
 }
 
-/** The answer when no further attempt is made. Once any attempt was in doubt, the outcome is unknown. */
+/** The response when no further attempt is made. Once any attempt was in doubt, the outcome is unknown. */
 function createFinalResponse (outcome: Exclude<AttemptOutcome, { kind: 'answer' }>, inDoubtReason: string | null): ResponseFrame {
   if (inDoubtReason !== null) return createRefusal('outcomeUnknown', `${inDoubtReason}; the same request id may be repeated`)
   if (outcome.kind === 'notRun' || outcome.kind === 'notSent') return outcome.frame
@@ -187,7 +187,8 @@
  * Runs a named write: a write with a request id, under which it commits at most once. The write and its
  * record commit in one transaction, and the record's primary key is derived from the request id. An
  * attempt whose response was lost is therefore repeated at the current primary, where it either finds
- * the record of the earlier outcome or runs the write.
+ * the record of the earlier outcome or runs the write. Yields one frame; a failed connection becomes a
+ * refusal.
  */
 export async function * runNamedWrite (context: ServingContext, request: AcceptedRequest): AsyncGenerator<ResponseFrame, void, void> {
   if (canCommitImplicitly(request.text)) {
