--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -12,7 +12,7 @@
   return fleet
 }
 
-/** Runs the fleet until `isDone`, for at most `limitMs` of virtual time. Returns the time that passed, in milliseconds. */
+/** Runs the fleet until `isDone`, for at most `limitMs` of simulated time. Returns the time that passed, in milliseconds. */
 function runUntil (fleet: VirtualFleet, limitMs: number, isDone: () => boolean): number {
   const startMs = fleet.nowMs
   while (!isDone() && fleet.nowMs - startMs < limitMs) fleet.run(1_000)
--- a/packages/proxy/src/membership/virtual-fleet.ts
+++ b/packages/proxy/src/membership/virtual-fleet.ts
@@ -4,10 +4,10 @@
 import type { MembershipInput, MembershipMessage } from './messages.ts'
 import { createMembershipState, describeMember, listLiveMembers, type MembershipEffect, type MembershipState } from './state.ts'
 
-/** Incarnation of the VMs that start at virtual time 0, in milliseconds since the epoch. */
+/** Incarnation of the VMs that start at simulated time 0, in milliseconds since the epoch. */
 export const FIRST_INCARNATION = 1_700_000_000_000
 
-/** Events are stored in buckets of this much virtual time. */
+/** Events are stored in buckets of this much simulated time. */
 const BUCKET_WIDTH_MS = 10
 
 /** The decision function under test: the real one, or a simplified one for comparison. */
