--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -91,7 +91,7 @@
     return this.#host.readReport().isReady
   }
 
-  /** Resolves once `isReady` is true. */
+  /** Resolves once `isReady` is true; never if the configuration is stopped before. */
   async waitUntilReady (): Promise<void> {
     if (this.isReady()) return
     await new Promise<void>(resolve => { this.#readyResolvers.push(resolve) })
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -38,7 +38,9 @@
   readonly vms: FakeVm[] = []
   readonly service: FakeObjectService
   nowMs = 0
+  /** Fraction of the messages between VMs that are lost. */
   lossFraction = 0
+  /** Fraction of the messages between VMs that are sent twice. */
   duplicateFraction = 0
   /** Pairs `a|b` of VMs that cannot reach each other; each pair is in the set in both orders. */
   readonly cutLinks = new Set<string>()
--- a/packages/proxy/src/configuration/state.ts
+++ b/packages/proxy/src/configuration/state.ts
@@ -112,6 +112,7 @@
   /** Sending time of the latest call that succeeded. */
   lastSuccessfulCallSentAtMs: number
   nextCallAtMs: number
+  /** Failed calls since the last success; sets the backoff. */
   failures: number
   polls: Map<number, Poll>
   /** Unresponsive peers, with the time until which they are polled only if no other is left. */
