--- a/packages/proxy/src/serving/run-on-connection.ts
+++ b/packages/proxy/src/serving/run-on-connection.ts
@@ -26,8 +26,8 @@
  * Runs a statement and yields the parts of its response. The connection is closed when the request is
  * cancelled, reaches its deadline, or the statement has run for `maxDurationMs`.
  *
- * @throws ConnectionLostError
- * @throws StatementTimeoutError
+ * @throws ConnectionLostError when the connection ends before the response is complete, as after a cancellation
+ * @throws StatementTimeoutError when the response is not complete at the deadline or after `maxDurationMs`
  */
 export async function * runCancellable (context: ServingContext, request: AcceptedRequest, connection: EndpointConnection, text: string, maxDurationMs = Infinity): AsyncGenerator<ResultPart, void, void> {
   const { cancellation } = request
@@ -47,8 +47,8 @@
  * Runs the request's statement outside a transaction, and releases the connection before it yields the
  * last part. A connection with an interrupted statement or an open transaction is closed.
  *
- * @throws ConnectionLostError
- * @throws StatementTimeoutError
+ * @throws ConnectionLostError when the connection ends before the response is complete, as after a cancellation
+ * @throws StatementTimeoutError when the response is not complete at the request's deadline
  */
 export async function * runOnConnection (context: ServingContext, request: AcceptedRequest, lease: ConnectionLease): AsyncGenerator<ResultPart, void, void> {
   const { connection, release } = lease
--- a/packages/proxy/src/serving/run-read.ts
+++ b/packages/proxy/src/serving/run-read.ts
@@ -90,6 +90,7 @@
     logRoutingDecision(context, request, target.endpoint, target.reason)
     const outcome = yield * attemptRead(context, request, target)
     if (outcome.isFinal) return
+    // Once an attempt may have run, the refusal must not become one that says that the read has not run.
     if (refusal === undefined || outcome.hasRun || !hasRun) refusal = outcome.frame
     hasRun ||= outcome.hasRun
     excluded.add(target.endpoint)
--- a/packages/proxy/src/session/decide-command.ts
+++ b/packages/proxy/src/session/decide-command.ts
@@ -19,6 +19,7 @@
   required: LogPosition | null
   maxAgeMs: number
   transactionId: string | null
+  /** VM that holds the open transaction, on which the statement must run; `null` outside a transaction. */
   pinnedVm: string | null
   writeId: string | null
 }
--- a/packages/proxy/src/session/state.ts
+++ b/packages/proxy/src/session/state.ts
@@ -3,6 +3,7 @@
 export interface OpenTransaction {
   database: string
   id: string
+  /** Serving VM that holds the transaction. */
   vm: string
 }
 
--- a/packages/proxy/src/session/token.ts
+++ b/packages/proxy/src/session/token.ts
@@ -3,6 +3,7 @@
 import { z } from 'zod'
 import { recordPosition, type SessionState } from './state.ts'
 
+/** The text given as a session token is not a valid token of this fleet and workspace. */
 export const SessionTokenError = BaseError.subclass('SessionTokenError')
 
 const TOKEN_VERSION = 'v1'
--- a/packages/proxy/src/statements/database-service.ts
+++ b/packages/proxy/src/statements/database-service.ts
@@ -14,6 +14,7 @@
   abstract abandon (transactionId: string): void
   /** Accepts no new statements or transactions, and resolves when all accepted ones have ended. */
   abstract drain (): Promise<void>
+  /** Stops the service at once; open transactions end with their connections. */
   abstract stop (): void
 }
 
--- a/packages/proxy/src/statements/statement-router.ts
+++ b/packages/proxy/src/statements/statement-router.ts
@@ -60,7 +60,7 @@
   }
 }
 
-/** `'not run'`: the next VM may be tried. */
+/** How one attempt ended: `responded` when the response or a refusal was yielded, `not run` when the next VM may be tried. */
 type AttemptOutcome = 'responded' | 'not run'
 
 async function * runAttempt (options: StatementRouterOptions, vm: string, request: StatementRequest): AsyncGenerator<RoutedFrame, AttemptOutcome, void> {
