--- a/packages/proxy/src/failover/failover.test.ts
+++ b/packages/proxy/src/failover/failover.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { runVirtualGroup, type FaultKind, type VirtualFault, type VirtualOptions, type VirtualResult, type DecisionVariant } from './virtual-group.ts'
+import { runSimulatedGroup, type FaultKind, type SimulatedFault, type SimulationOptions, type SimulationResult, type DecisionVariant } from './virtual-group.ts'
 import { TOLERATED_PAUSE_MS } from './timings.ts'
 
 /** Other seeds and more runs can be set in the environment; a failure prints its seed. */
@@ -9,14 +9,14 @@
 const RECOVERY_MS = 5_000
 
 const faultKinds: FaultKind[] = ['killInstance', 'freezeInstance', 'killVm', 'pauseVm', 'cutVmLink', 'cutPeerLink', 'isolateInstance', 'loss', 'slowLink']
-const faultArbitrary: fc.Arbitrary<VirtualFault> = fc.record({
+const faultArbitrary: fc.Arbitrary<SimulatedFault> = fc.record({
   kind: fc.constantFrom(...faultKinds),
   atMs: fc.integer({ min: 200, max: 1_200 }),
   durationMs: fc.integer({ min: 50, max: 2_000 }),
   instanceIndex: fc.nat(4),
   peerOrVmIndex: fc.nat(4)
 })
-const scheduleArbitrary: fc.Arbitrary<VirtualOptions> = fc.record({
+const scheduleArbitrary: fc.Arbitrary<SimulationOptions> = fc.record({
   seed: fc.integer(),
   instances: fc.constantFrom(3, 3, 3, 5),
   vms: fc.constantFrom(1, 2, 3),
@@ -24,7 +24,7 @@
 })
 
 function hasViolation (variant: DecisionVariant): boolean {
-  const property = fc.property(scheduleArbitrary, options => runVirtualGroup({ ...options, variant, faultFreeMs: 1_000 }).violations.length === 0)
+  const property = fc.property(scheduleArbitrary, options => runSimulatedGroup({ ...options, variant, faultFreeMs: 1_000 }).violations.length === 0)
   return fc.check(property, { seed: SEED, numRuns: RUNS, endOnFailure: true }).failed
 }
 
@@ -33,7 +33,7 @@
     let promotionCount = 0
     let acknowledgedCount = 0
     fc.assert(fc.property(scheduleArbitrary, options => {
-      const result = runVirtualGroup(options)
+      const result = runSimulatedGroup(options)
       promotionCount += result.promotionCount
       acknowledgedCount += result.acknowledged
       expect(result.violations).to.deep.equal([])
@@ -52,7 +52,7 @@
   it('no VM promotes when the primary, a VM or a link is paused or slow for no longer than the tolerated time', () => {
     const kind = fc.constantFrom<FaultKind>('freezeInstance', 'pauseVm', 'isolateInstance', 'slowLink')
     fc.assert(fc.property(fc.integer(), kind, fc.integer({ min: 50, max: TOLERATED_PAUSE_MS }), fc.integer({ min: 500, max: 900 }), (seed, kind, durationMs, atMs) => {
-      const result: VirtualResult = runVirtualGroup({ seed, instances: 3, vms: 3, faults: [{ kind, atMs, durationMs, instanceIndex: 0, peerOrVmIndex: 1 }], hasLateMessages: false, faultFreeMs: 1_500 })
+      const result: SimulationResult = runSimulatedGroup({ seed, instances: 3, vms: 3, faults: [{ kind, atMs, durationMs, instanceIndex: 0, peerOrVmIndex: 1 }], hasLateMessages: false, faultFreeMs: 1_500 })
       expect(result.promotionCount).to.equal(0)
     }), { seed: SEED, numRuns: RUNS, endOnFailure: true, examples: [[-883504201, 'isolateInstance', 553, 895], [706442560, 'isolateInstance', 542, 877]] })
   })
--- a/packages/proxy/src/failover/virtual-group.ts
+++ b/packages/proxy/src/failover/virtual-group.ts
@@ -13,7 +13,7 @@
 
 export type FaultKind = 'killInstance' | 'freezeInstance' | 'killVm' | 'pauseVm' | 'cutVmLink' | 'cutPeerLink' | 'isolateInstance' | 'loss' | 'slowLink'
 
-export interface VirtualFault {
+export interface SimulatedFault {
   kind: FaultKind
   atMs: number
   durationMs: number
@@ -26,11 +26,11 @@
 /** Variants of the decision; the checks must fail for every one but `correct`. */
 export type DecisionVariant = 'correct' | 'ackWithoutWaiting' | 'promoteWithoutQuorum' | 'anyCandidate'
 
-export interface VirtualOptions {
+export interface SimulationOptions {
   seed: number
   instances: number
   vms: number
-  faults: readonly VirtualFault[]
+  faults: readonly SimulatedFault[]
   variant?: DecisionVariant
   /** Whether single messages may be late by up to half a second until the last fault ends; true by default. */
   hasLateMessages?: boolean
@@ -38,7 +38,7 @@
   faultFreeMs?: number
 }
 
-export interface VirtualResult {
+export interface SimulationResult {
   /** Descriptions of the violated guarantees; the simulation stops at the first one. */
   violations: string[]
   /** Number of acknowledged writes. */
@@ -58,21 +58,21 @@
 /** The baseline of a VM is checked when it receives a message, for one in so many messages. */
 const MESSAGES_PER_BASELINE_CHECK = 3
 
-interface VirtualInstance { name: string, state: GroupState, frozenUntilMs: number, downUntilMs: number, primaryContactAtMs: number }
-interface VirtualVm { name: string, incarnation: number, failover: FailoverState, durability: DurabilityState, pausedUntilMs: number, writes: number }
+interface SimulatedInstance { name: string, state: GroupState, frozenUntilMs: number, downUntilMs: number, primaryContactAtMs: number }
+interface SimulatedVm { name: string, incarnation: number, failover: FailoverState, durability: DurabilityState, pausedUntilMs: number, writes: number }
 interface AcknowledgedWrite { id: string, position: LogPosition, startedAtMs: number, atMs: number }
 
 /** Runs one schedule of faults to its end. */
-export function runVirtualGroup (options: VirtualOptions): VirtualResult {
-  return new VirtualGroup(options).run()
+export function runSimulatedGroup (options: SimulationOptions): SimulationResult {
+  return new SimulatedGroup(options).run()
 }
 
-class VirtualGroup {
-  readonly #options: VirtualOptions
+class SimulatedGroup {
+  readonly #options: SimulationOptions
   readonly #random: () => number
   readonly #events: Array<{ atMs: number, order: number, run: () => void }> = []
-  readonly #instances: VirtualInstance[]
-  readonly #vms: VirtualVm[]
+  readonly #instances: SimulatedInstance[]
+  readonly #vms: SimulatedVm[]
   readonly #endpoints: Endpoint[]
   readonly #acknowledged: AcknowledgedWrite[] = []
   /** For each acknowledged write, the latest position among it and those before it. */
@@ -85,7 +85,7 @@
   #messageCount = 0
   #recoveredAtMs: number | null = null
 
-  constructor (options: VirtualOptions) {
+  constructor (options: SimulationOptions) {
     this.#options = options
     this.#random = createSeededRandom(options.seed)
     this.#faultsEndedAtMs = Math.max(500, ...options.faults.map(f => f.atMs + f.durationMs))
@@ -96,7 +96,7 @@
     this.#vms = Array.from({ length: options.vms }, (_, i) => this.#createVm(`vm-${i}`, 0, i))
   }
 
-  run (): VirtualResult {
+  run (): SimulationResult {
     const endMs = this.#faultsEndedAtMs + (this.#options.faultFreeMs ?? 6_000)
     for (const f of this.#options.faults) this.#schedule(f.atMs, () => { this.#startFault(f) })
     this.#vms.forEach((_, i) => { this.#startVm(i) })
@@ -112,7 +112,7 @@
     return { violations: this.#violations, acknowledged: this.#acknowledged.length, promotionCount: this.#primaryByTerm.size - 1, recoveredAfterMs }
   }
 
-  #createVm (name: string, incarnation: number, rank: number): VirtualVm {
+  #createVm (name: string, incarnation: number, rank: number): SimulatedVm {
     const failover = createFailoverState({ database: 'db', endpoints: this.#endpoints, promoterId: `${name}.${incarnation}`, seed: this.#options.seed + rank, nowMs: this.#nowMs, rank })
     if (this.#options.variant === 'promoteWithoutQuorum') failover.quorumSize = 1
     const quorumSize = this.#options.variant === 'ackWithoutWaiting' ? 1 : Math.floor(this.#endpoints.length / 2) + 1
@@ -138,7 +138,7 @@
   }
 
   /** Runs now, or when the VM's pause ends, unless the VM has been killed. */
-  #runOnVm (vm: VirtualVm, run: () => void): void {
+  #runOnVm (vm: SimulatedVm, run: () => void): void {
     if (vm.pausedUntilMs > this.#nowMs) {
       this.#schedule(vm.pausedUntilMs, () => {
         if (this.#vms.includes(vm)) run()
@@ -148,14 +148,14 @@
     if (this.#vms.includes(vm)) run()
   }
 
-  #tell (vm: VirtualVm, message: FailoverMessage): void {
+  #tell (vm: SimulatedVm, message: FailoverMessage): void {
     const { effects } = decideFailover(vm.failover, message, this.#nowMs)
     for (const e of effects) this.#runEffect(vm, e)
     if (++this.#messageCount % MESSAGES_PER_BASELINE_CHECK === 0) this.#checkBaseline(vm)
   }
 
   /** Checks that the baseline from the last probes of a quorum includes every write acknowledged before they were sent. */
-  #checkBaseline (vm: VirtualVm): void {
+  #checkBaseline (vm: SimulatedVm): void {
     const baseline = computeBaseline(listProbedInstances(vm.failover).map(i => ({ ...i, isReachable: true })))
     if (baseline === undefined) return
     const index = this.#acknowledged.findLastIndex(a => a.atMs < baseline.atMs)
@@ -164,7 +164,7 @@
     this.#violations.push(`${vm.name} computed a baseline without an acknowledged write`)
   }
 
-  #runEffect (vm: VirtualVm, effect: FailoverEffect): void {
+  #runEffect (vm: SimulatedVm, effect: FailoverEffect): void {
     if (effect.type === 'log' || effect.type === 'changed') return
     const target = this.#instances.find(i => i.name === effect.endpoint)!
     const sentAtMs = this.#nowMs
@@ -188,15 +188,15 @@
     })
   }
 
-  #pickAnyFenced (promoter: string, fallback: VirtualInstance): VirtualInstance {
+  #pickAnyFenced (promoter: string, fallback: SimulatedInstance): SimulatedInstance {
     return this.#instances.findLast(i => i.state.promoter === promoter) ?? fallback
   }
 
-  #probeAll (vm: VirtualVm, probed: readonly ProbedInstance[]): void {
+  #probeAll (vm: SimulatedVm, probed: readonly ProbedInstance[]): void {
     for (const p of probed) this.#probe(vm, this.#instances.find(i => i.name === p.endpoint.endpoint)!)
   }
 
-  #probe (vm: VirtualVm, instance: VirtualInstance): void {
+  #probe (vm: SimulatedVm, instance: SimulatedInstance): void {
     const sentAtMs = this.#nowMs
     const endpoint = instance.name
     this.#tell(vm, { type: 'probeSent', endpoint })
@@ -209,7 +209,7 @@
     this.#request(vm, instance, i => this.#describeInstance(i), status => { this.#tell(vm, { type: 'probeAnswered', endpoint, sentAtMs, status }) })
   }
 
-  #write (vm: VirtualVm): void {
+  #write (vm: SimulatedVm): void {
     const primary = findReachablePrimary(vm.failover, this.#nowMs)
     if (primary === undefined) return
     const id = `${vm.name}.${vm.incarnation}.${++vm.writes}`
@@ -225,7 +225,7 @@
     })
   }
 
-  #waitDurable (vm: VirtualVm, { id, startedAtMs, position, primary }: { id: string, startedAtMs: number, position: LogPosition, primary: string }): void {
+  #waitDurable (vm: SimulatedVm, { id, startedAtMs, position, primary }: { id: string, startedAtMs: number, position: LogPosition, primary: string }): void {
     const waiterId = addWaiter(vm.durability, position, primary)
     const deadlineMs = this.#nowMs + DURABILITY_TIMEOUT_MS
     let isOpen = true
@@ -256,9 +256,9 @@
     poll()
   }
 
-  readonly #finishersByVm = new Map<VirtualVm, Map<number, (isDurable: boolean) => void>>()
+  readonly #finishersByVm = new Map<SimulatedVm, Map<number, (isDurable: boolean) => void>>()
 
-  #ensureFinishers (vm: VirtualVm): Map<number, (isDurable: boolean) => void> {
+  #ensureFinishers (vm: SimulatedVm): Map<number, (isDurable: boolean) => void> {
     const finishers = this.#finishersByVm.get(vm) ?? new Map<number, (isDurable: boolean) => void>()
     this.#finishersByVm.set(vm, finishers)
     return finishers
@@ -273,7 +273,7 @@
     if (write.startedAtMs >= this.#faultsEndedAtMs) this.#recoveredAtMs ??= this.#nowMs
   }
 
-  #requestShipment (replica: VirtualInstance): void {
+  #requestShipment (replica: SimulatedInstance): void {
     if (this.#isUnavailable(replica) || replica.state.role !== 'replica' || replica.state.primary === null) return
     const primary = this.#instances.find(i => i.name === replica.state.primary!.instance)!
     const request = createLogRequest(replica.state.term, replica.state.log)
@@ -288,14 +288,14 @@
   }
 
   /** Sends a request and its response, each of which may be lost, late or repeated. */
-  #request<T> (vm: VirtualVm, target: VirtualInstance, run: (instance: VirtualInstance) => T, handleResponse: (result: T) => void): void {
+  #request<T> (vm: SimulatedVm, target: SimulatedInstance, run: (instance: SimulatedInstance) => T, handleResponse: (result: T) => void): void {
     this.#sendTo(vm.name, target, () => {
       const result = run(target)
       this.#send(target.name, vm.name, () => { this.#runOnVm(vm, () => { handleResponse(result) }) })
     })
   }
 
-  #sendTo (from: string, target: VirtualInstance, run: () => void): void {
+  #sendTo (from: string, target: SimulatedInstance, run: () => void): void {
     this.#send(from, target.name, () => {
       if (target.downUntilMs > this.#nowMs) return
       if (target.frozenUntilMs > this.#nowMs) this.#schedule(target.frozenUntilMs + this.#random() * 3, () => { this.#runUnlessUnavailable(target, run) })
@@ -303,7 +303,7 @@
     })
   }
 
-  #runUnlessUnavailable (target: VirtualInstance, run: () => void): void {
+  #runUnlessUnavailable (target: SimulatedInstance, run: () => void): void {
     if (!this.#isUnavailable(target)) run()
   }
 
@@ -334,16 +334,16 @@
     })
   }
 
-  #isOnLink (fault: VirtualFault, from: string, to: string): boolean {
+  #isOnLink (fault: SimulatedFault, from: string, to: string): boolean {
     const ends = fault.kind === 'cutVmLink' ? [this.#vms[fault.peerOrVmIndex % this.#vms.length]!.name, this.#findInstanceName(fault.instanceIndex)] : [this.#findInstanceName(fault.instanceIndex), this.#findInstanceName(fault.peerOrVmIndex)]
     return ends.includes(from) && ends.includes(to)
   }
 
-  #hasActiveFault (matches: (fault: VirtualFault) => boolean): boolean {
+  #hasActiveFault (matches: (fault: SimulatedFault) => boolean): boolean {
     return this.#options.faults.some(f => f.atMs <= this.#nowMs && this.#nowMs < f.atMs + f.durationMs && matches(f))
   }
 
-  #startFault (fault: VirtualFault): void {
+  #startFault (fault: SimulatedFault): void {
     const instance = this.#instances[fault.instanceIndex % this.#instances.length]!
     const untilMs = fault.atMs + fault.durationMs
     const index = fault.peerOrVmIndex % this.#vms.length
@@ -388,11 +388,11 @@
     return this.#recoveredAtMs !== null && this.#nowMs > this.#recoveredAtMs + 300
   }
 
-  #isUnavailable (i: VirtualInstance): boolean {
+  #isUnavailable (i: SimulatedInstance): boolean {
     return i.downUntilMs > this.#nowMs || i.frozenUntilMs > this.#nowMs
   }
 
-  #describeInstance (i: VirtualInstance): InstanceStatus {
+  #describeInstance (i: SimulatedInstance): InstanceStatus {
     const status = describeStatus(i.state)
     return status.role === 'replica' ? { ...status, primaryHeardMs: Math.max(0, this.#nowMs - i.primaryContactAtMs - CONTACT_AGE_ALLOWANCE_MS) } : status
   }
