--- a/packages/proxy/src/membership/decision.ts
+++ b/packages/proxy/src/membership/decision.ts
@@ -56,16 +56,16 @@
 function handleTick (context: DecisionContext): void {
   const { state, nowMs } = context
   checkPause(context)
-  state.lastTickMs = nowMs
+  state.lastTickAtMs = nowMs
   advanceProbes(context)
   checkSuspicions(context)
-  if (nowMs >= state.nextRoundMs) {
-    state.nextRoundMs = nowMs + ROUND_INTERVAL_MS
+  if (nowMs >= state.nextRoundAtMs) {
+    state.nextRoundAtMs = nowMs + ROUND_INTERVAL_MS
     startRound(context)
     sendViewToUnknownVms(context)
   }
   updatePollerRole(context)
-  if (nowMs >= state.nextPollMs) schedulePoll(context)
+  if (nowMs >= state.nextPollAtMs) schedulePoll(context)
   sendGossip(context)
 }
 
@@ -74,10 +74,10 @@
  * probes in flight are discarded and suspicions extended by the delay.
  */
 function checkPause ({ state, nowMs }: DecisionContext): void {
-  if (state.lastTickMs === null) return
-  const lateMs = nowMs - state.lastTickMs - TICK_INTERVAL_MS
+  if (state.lastTickAtMs === null) return
+  const lateMs = nowMs - state.lastTickAtMs - TICK_INTERVAL_MS
   if (lateMs < PAUSE_THRESHOLD_MS) return
-  state.pauseRecoveryEndsMs = nowMs + PAUSE_RECOVERY_MS
+  state.pauseRecoveryEndsAtMs = nowMs + PAUSE_RECOVERY_MS
   state.probes.clear()
   for (const vm of state.suspected) state.members.get(vm)!.suspectedAtMs += lateMs
 }
@@ -93,12 +93,12 @@
   state.pollerRing = ring
   const wasPoller = state.isPoller
   state.isPoller = selectServingVms('list-of-vms', [state.self, ...ring], { count: POLLER_COUNT }).includes(state.self.vm)
-  if (state.isPoller && !wasPoller) state.nextPollMs = nowMs
+  if (state.isPoller && !wasPoller) state.nextPollAtMs = nowMs
 }
 
 function schedulePoll ({ state, nowMs, effects }: DecisionContext): void {
   const isFrequent = state.isPoller || !state.hasSynced
-  state.nextPollMs = nowMs + (isFrequent ? POLL_INTERVAL_MS : BACKGROUND_POLL_INTERVAL_MS)
+  state.nextPollAtMs = nowMs + (isFrequent ? POLL_INTERVAL_MS : BACKGROUND_POLL_INTERVAL_MS)
   effects.push({ type: 'poll' })
 }
 
--- a/packages/proxy/src/membership/probes.ts
+++ b/packages/proxy/src/membership/probes.ts
@@ -111,7 +111,7 @@
 function handleProbeFailure (context: DecisionContext, target: MemberRecord): void {
   const { state, nowMs, effects } = context
   state.probes.delete(target.vm)
-  if (nowMs < state.pauseRecoveryEndsMs) return
+  if (nowMs < state.pauseRecoveryEndsAtMs) return
   const { reportedAccusers } = target
   target.reportedAccusers = []
   if (!addAccusers(context, target, [state.self.vm, ...reportedAccusers])) return
@@ -148,7 +148,7 @@
  */
 export function checkSuspicions (context: DecisionContext): void {
   const { state, nowMs } = context
-  if (state.suspected.size === 0 || nowMs < state.pauseRecoveryEndsMs) return
+  if (state.suspected.size === 0 || nowMs < state.pauseRecoveryEndsAtMs) return
   const minSuspicionMs = computeMinSuspicionMs(state.members.size + 1)
   const requiredConfirmations = countRequiredConfirmations(context)
   for (const vm of [...state.suspected]) {
--- a/packages/proxy/src/membership/state.ts
+++ b/packages/proxy/src/membership/state.ts
@@ -81,15 +81,15 @@
   /** State of the seeded random number generator. */
   randomState: number
   roundCount: number
-  lastTickMs: number | null
-  nextRoundMs: number
-  nextPollMs: number
-  nextSyncMs: number
+  lastTickAtMs: number | null
+  nextRoundAtMs: number
+  nextPollAtMs: number
+  nextSyncAtMs: number
   /**
    * Until then this VM neither suspects members for failed probes nor confirms deaths, because its own process
    * was paused and could not read their messages.
    */
-  pauseRecoveryEndsMs: number
+  pauseRecoveryEndsAtMs: number
 }
 
 /** A VM and the address at which it accepts links from its peers. */
@@ -132,11 +132,11 @@
     sequence: 0,
     randomState: seed | 0,
     roundCount: 0,
-    lastTickMs: null,
-    nextRoundMs: 0,
-    nextPollMs: 0,
-    nextSyncMs: 0,
-    pauseRecoveryEndsMs: 0
+    lastTickAtMs: null,
+    nextRoundAtMs: 0,
+    nextPollAtMs: 0,
+    nextSyncAtMs: 0,
+    pauseRecoveryEndsAtMs: 0
   }
 }
 
--- a/packages/proxy/src/membership/sync.ts
+++ b/packages/proxy/src/membership/sync.ts
@@ -25,8 +25,8 @@
 /** Starts a full sync if the peer's view differs, at most once per `SYNC_INTERVAL_MS`. */
 export function compareViews (context: DecisionContext, peer: PeerAddress, digest: number): void {
   const { state, nowMs } = context
-  if (digest === computeDigest(state) || nowMs < state.nextSyncMs) return
-  state.nextSyncMs = nowMs + SYNC_INTERVAL_MS
+  if (digest === computeDigest(state) || nowMs < state.nextSyncAtMs) return
+  state.nextSyncAtMs = nowMs + SYNC_INTERVAL_MS
   sendView(context, peer, true)
 }
 
--- a/packages/proxy/src/membership/updates.ts
+++ b/packages/proxy/src/membership/updates.ts
@@ -62,7 +62,7 @@
 function adoptReportedLeaving ({ state, effects }: DecisionContext): void {
   state.isListedAsLeaving = true
   state.self.isLeaving = true
-  state.nextPollMs = 0
+  state.nextPollAtMs = 0
   scheduleGossip(state, state.self.vm)
   effects.push({ type: 'changed', member: describeMember(state.self), reason: 'listed as leaving' })
 }
