--- a/packages/proxy/src/limits/decide-limits.ts
+++ b/packages/proxy/src/limits/decide-limits.ts
@@ -29,7 +29,7 @@
   /** When the next tick is scheduled; infinite when none is. */
   wakeAtMs: number
   /** When the ownership state next has work that a tick must do. */
-  ownershipWakeMs: number
+  ownershipWakeAtMs: number
 }
 
 export type LimitInput =
@@ -60,7 +60,7 @@
     ledger: createLedger(),
     ownership,
     wakeAtMs: Infinity,
-    ownershipWakeMs: nowMs
+    ownershipWakeAtMs: nowMs
   }
 }
 
@@ -82,7 +82,7 @@
   const effects = applyInput(state, input, nowMs)
   if (hasOwnershipWork(state, input, nowMs)) effects.push(...decideOwnership(state, nowMs))
   effects.push(...flushSpender(state.spender, nowMs))
-  const dueAtMs = Math.min(state.ownershipWakeMs, state.spender.wakeAtMs)
+  const dueAtMs = Math.min(state.ownershipWakeAtMs, state.spender.wakeAtMs)
   const atMs = Math.max(dueAtMs, nowMs + MIN_TICK_INTERVAL_MS)
   if (input.type === 'tick') state.wakeAtMs = Infinity
   if (atMs < state.wakeAtMs) {
@@ -95,7 +95,7 @@
 function hasOwnershipWork (state: LimitState, input: LimitInput, nowMs: number): boolean {
   switch (input.type) {
     case 'admit': case 'rate': return false
-    case 'tick': return nowMs >= state.ownershipWakeMs
+    case 'tick': return nowMs >= state.ownershipWakeAtMs
     case 'peer': return input.body.type === 'proof-reply' || input.body.type === 'owners-update'
     default: return true
   }
@@ -105,7 +105,7 @@
   const { ownership } = state
   const effects = [...tickOwnership(ownership, nowMs), ...planAssignment(ownership, nowMs)]
   if (isStopped(ownership)) effects.push({ type: 'stopped' })
-  state.ownershipWakeMs = Math.min(computeOwnershipWakeMs(ownership), computeAssignmentWakeMs(ownership, nowMs))
+  state.ownershipWakeAtMs = Math.min(computeOwnershipWakeMs(ownership), computeAssignmentWakeMs(ownership, nowMs))
   return effects
 }
 
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -109,10 +109,10 @@
     await waitUntil(() => countCountedShares(vms, clock) === SHARE_TOTAL)
 
     await waitUntilAdmitted(vms[0]!.limiter)
-    const startedMs = clock.readNow()
+    const startedAtMs = clock.readNow()
     const requests = Array.from({ length: 240 }, async (_, i) => await vms[i % VM_COUNT]!.limiter.admit(contract.workspace, 1_000))
     const admissions: Admission[] = await Promise.all(requests)
-    const elapsedMs = clock.readNow() - startedMs
+    const elapsedMs = clock.readNow() - startedAtMs
     const admitted = admissions.filter(a => a.admitted).length
     expect(admitted).to.be.at.most(contract.rate.burst + contract.rate.statementsPerSecond * elapsedMs / 1000)
     for (const a of admissions) if (!a.admitted) expect(a.retryAfterMs).to.be.above(0)
--- a/packages/proxy/src/listener/command-runner.ts
+++ b/packages/proxy/src/listener/command-runner.ts
@@ -99,18 +99,18 @@
 
 async function runStatement (options: CommandRunnerOptions, client: ClientContext, statement: PlannedStatement, contract: Contract): Promise<void> {
   const { session } = client
-  const startedMs = options.clock.readNow()
+  const startedAtMs = options.clock.readNow()
   // The end of a transaction is not rate limited: a refused one would keep the endpoint's connection occupied.
   const isRateLimited = statement.class !== 'commit' && statement.class !== 'rollback'
   if (isRateLimited) {
     const admission = await options.limiter.admit(session.workspace, contract.statementTimeoutMs)
     if (!admission.admitted) return sendRefusal(options, client, { kind: 'notRunRetry', reason: admission.reason, retryAfterMs: admission.retryAfterMs })
   }
-  const timeoutMs = Math.max(1, contract.statementTimeoutMs - (options.clock.readNow() - startedMs))
+  const timeoutMs = Math.max(1, contract.statementTimeoutMs - (options.clock.readNow() - startedAtMs))
   const { pinnedVm, ...requestFields } = statement
   const request: StatementRequest = { ...requestFields, requestId: options.createRequestId(), sessionId: session.sessionId, workspace: session.workspace, timeoutMs }
   await sendResponse(options, client, statement, request)
-  const elapsedMs = options.clock.readNow() - startedMs
+  const elapsedMs = options.clock.readNow() - startedAtMs
   options.metrics.statementSeconds.observe({ class: statement.class }, elapsedMs / 1_000)
   options.logger.debug('statement completed', { request: request.requestId, workspace: request.workspace, database: request.database, class: request.class, elapsedMs: Math.round(elapsedMs) })
 }
--- a/packages/proxy/src/pool/fair-queue.test.ts
+++ b/packages/proxy/src/pool/fair-queue.test.ts
@@ -6,7 +6,7 @@
 const LIGHT_WORKSPACES = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
 const SIMULATED_MS = 2_000
 
-interface Item { workspace: string, arrivedMs: number, costMs: number }
+interface Item { workspace: string, arrivedAtMs: number, costMs: number }
 interface QueueDiscipline { add: (item: Item) => void, pick: () => Item | undefined, end: (item: Item) => void }
 
 function createFairDiscipline (): QueueDiscipline {
@@ -32,7 +32,7 @@
   const started = new Set<Item>()
   const record = (item: Item, waitMs: number): void => { waitsMsByWorkspace.set(item.workspace, [...waitsMsByWorkspace.get(item.workspace) ?? [], waitMs]) }
   for (let nowMs = 0; nowMs < SIMULATED_MS; nowMs++) {
-    while (pending[0] !== undefined && pending[0].arrivedMs <= nowMs) discipline.add(pending.shift()!)
+    while (pending[0] !== undefined && pending[0].arrivedAtMs <= nowMs) discipline.add(pending.shift()!)
     for (const r of running.filter(r => r.endMs <= nowMs)) {
       running.splice(running.indexOf(r), 1)
       discipline.end(r.item)
@@ -41,11 +41,11 @@
       const item = discipline.pick()
       if (item === undefined) break
       started.add(item)
-      record(item, nowMs - item.arrivedMs)
+      record(item, nowMs - item.arrivedAtMs)
       running.push({ item, endMs: nowMs + item.costMs })
     }
   }
-  for (const item of arrivals) if (!started.has(item)) record(item, SIMULATED_MS - item.arrivedMs)
+  for (const item of arrivals) if (!started.has(item)) record(item, SIMULATED_MS - item.arrivedAtMs)
   return new Map([...waitsMsByWorkspace].map(([w, list]) => [w, list.reduce((a, b) => a + b, 0) / list.length]))
 }
 
@@ -55,12 +55,12 @@
   const items: Item[] = []
   const addLoad = (workspace: string, meanIntervalMs: number): void => {
     for (let atMs = draw() * meanIntervalMs; atMs < SIMULATED_MS; atMs += meanIntervalMs * (0.5 + draw())) {
-      items.push({ workspace, arrivedMs: atMs, costMs: 1 + Math.floor(draw() * 7) })
+      items.push({ workspace, arrivedAtMs: atMs, costMs: 1 + Math.floor(draw() * 7) })
     }
   }
   for (const w of LIGHT_WORKSPACES) addLoad(w, 19)
   addLoad('flood', 4 / (2 * CONCURRENCY))
-  return items.sort((a, b) => a.arrivedMs - b.arrivedMs)
+  return items.sort((a, b) => a.arrivedAtMs - b.arrivedAtMs)
 })
 
 function computeLightWaitsMs (meanWaitsMs: Map<string, number>): { worst: number, mean: number } {
--- a/packages/proxy/src/serving/find-read-target.ts
+++ b/packages/proxy/src/serving/find-read-target.ts
@@ -71,13 +71,13 @@
 }
 
 async function waitForReplica (context: ServingContext, requirement: ReadRequirement, excluded: ReadonlySet<string>, waitMs: number): Promise<ReadTarget> {
-  const startMs = context.clock.readNow()
+  const startedAtMs = context.clock.readNow()
   for (;;) {
     await context.waitForChange(REPLICA_RECHECK_INTERVAL_MS)
-    const waitedMs = context.clock.readNow() - startMs
+    const waitedMs = context.clock.readNow() - startedAtMs
     await probeReplicas(context, requirement, excluded, Math.max(1, waitMs - waitedMs))
     const target = selectTarget(context, requirement, excluded)
-    if (isReplicaTarget(target) || context.clock.readNow() - startMs >= waitMs) return target
+    if (isReplicaTarget(target) || context.clock.readNow() - startedAtMs >= waitMs) return target
   }
 }
 
