--- a/packages/proxy/src/configuration/configuration.ts
+++ b/packages/proxy/src/configuration/configuration.ts
@@ -46,7 +46,7 @@
       return problem
     }
     this.#invalidKeys.delete(key)
-    for (const l of this.#listeners) l(object.kind, object.name)
+    for (const listener of this.#listeners) listener(object.kind, object.name)
     return null
   }
 
@@ -91,7 +91,7 @@
     return this.#host.readReport().isReady
   }
 
-  /** Resolves once `isReady` is true. */
+  /** Resolves once `isReady` is true; never if the configuration is stopped before. */
   async waitUntilReady (): Promise<void> {
     if (this.isReady()) return
     await new Promise<void>(resolve => { this.#readyResolvers.push(resolve) })
--- a/packages/proxy/src/limits/assignment.ts
+++ b/packages/proxy/src/limits/assignment.ts
@@ -12,7 +12,7 @@
 const STARTUP_SETTLE_MS = 1_000
 /**
  * How long the first assignment waits for VMs on the platform's list that have not joined. Without the wait, a VM that starts
- * early could become the only witness, and that one may be lost for good.
+ * early could become the only witness, and a single witness may be lost permanently.
  */
 const INITIAL_JOIN_TIMEOUT_MS = 5_000
 /** The same wait on a VM that knows no other VM when the list names none either, as the list may lag behind. */
@@ -206,12 +206,12 @@
   if (outcome === 'written') return
   if (outcome === 'failed') {
     state.retryAtMs = nowMs + WRITE_RETRY_MS
-    for (const h of state.localShares.values()) if (h.handover?.uncertainBaseVersion === null) h.handover = null
+    for (const localShare of state.localShares.values()) if (localShare.handover?.uncertainBaseVersion === null) localShare.handover = null
     return
   }
   state.needsRead = true
   state.retryAtMs = nowMs + hashName(`${state.self.vm}/${nowMs}`) % CONFLICT_JITTER_MS
-  for (const h of state.localShares.values()) if (h.handover !== null) h.handover.uncertainBaseVersion = state.owners?.version ?? 0
+  for (const localShare of state.localShares.values()) if (localShare.handover !== null) localShare.handover.uncertainBaseVersion = state.owners?.version ?? 0
 }
 
 /** When `planAssignment` may next have something to do; infinite while nothing needs to change. */
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -7,7 +7,7 @@
 
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
-/** Long runs override these through the environment; see docs/decisions/limits.md. */
+/** The environment variables set the number and the seed of the runs; a failed property prints its seed. */
 const RUNS = Number(process.env.LIMITS_RUNS ?? 1_000)
 const SEED = Number(process.env.LIMITS_SEED ?? 20_261)
 const VM_COUNT = 5
@@ -203,7 +203,7 @@
 /** A new owner counts at once, although the previous owner may still count. */
 const decideWithoutTakeoverWait: LimitDecide = (state, input, nowMs) => {
   const step = decideLimits(state, input, nowMs)
-  for (const h of step.state.ownership.localShares.values()) h.readyAtMs = Math.min(h.readyAtMs, nowMs)
+  for (const localShare of step.state.ownership.localShares.values()) localShare.readyAtMs = Math.min(localShare.readyAtMs, nowMs)
   return step
 }
 
--- a/packages/proxy/src/limits/start-limiter.test.ts
+++ b/packages/proxy/src/limits/start-limiter.test.ts
@@ -9,6 +9,7 @@
 import { startLimiter, type RunningLimiter } from './start-limiter.ts'
 
 const VM_COUNT = 3
+/** 64 partitions with 3 shares each. */
 const SHARE_TOTAL = 192
 const contract: Contract = {
   workspace: 'brasswind',
@@ -43,7 +44,7 @@
 interface TestVm {
   limiter: RunningLimiter
   peers: WsPeerNetwork
-  shut: () => Promise<void>
+  stop: () => Promise<void>
 }
 
 async function startVm (index: number, membership: FixedMembership, platform: RunningPlatform, logger: Logger): Promise<TestVm> {
@@ -67,7 +68,7 @@
   return {
     limiter,
     peers,
-    shut: async () => {
+    stop: async () => {
       stop(system)
       await peers.stop()
     }
@@ -108,10 +109,10 @@
     await waitUntil(() => countCountedShares(vms, clock) === SHARE_TOTAL)
 
     await waitUntilAdmitted(vms[0]!.limiter)
-    const startedMs = clock.readNow()
+    const startedAtMs = clock.readNow()
     const requests = Array.from({ length: 240 }, async (_, i) => await vms[i % VM_COUNT]!.limiter.admit(contract.workspace, 1_000))
     const admissions: Admission[] = await Promise.all(requests)
-    const elapsedMs = clock.readNow() - startedMs
+    const elapsedMs = clock.readNow() - startedAtMs
     const admitted = admissions.filter(a => a.admitted).length
     expect(admitted).to.be.at.most(contract.rate.burst + contract.rate.statementsPerSecond * elapsedMs / 1000)
     for (const a of admissions) if (!a.admitted) expect(a.retryAfterMs).to.be.above(0)
@@ -119,7 +120,7 @@
 
     await vms[0]!.limiter.stop()
     await waitUntil(() => countCountedShares(vms.slice(1), clock) === SHARE_TOTAL)
-    for (const vm of vms) await vm.shut()
+    for (const vm of vms) await vm.stop()
     await platform.close()
   })
 })
