--- a/packages/load/src/benchmarks/configuration.ts
+++ b/packages/load/src/benchmarks/configuration.ts
@@ -3,7 +3,7 @@
 import { runInNewContext } from 'node:vm'
 import { pack } from 'msgpackr'
 import { computeAgeMs } from '../../../proxy/src/configuration/staleness.ts'
-import { decideConfiguration } from '../../../proxy/src/configuration/decision.ts'
+import { decideConfiguration } from '../../../proxy/src/configuration/decide-configuration.ts'
 import { FakeFleet, type DecideConfiguration, type FakeVm } from '../../../proxy/src/configuration/fake-fleet.ts'
 import { applyValue, createObjectValues } from '../../../proxy/src/configuration/object-values.ts'
 
--- a/packages/load/src/benchmarks/limits.ts
+++ b/packages/load/src/benchmarks/limits.ts
@@ -1,7 +1,7 @@
 import { decideLimits, type LimitInput, type LimitState } from '../../../proxy/src/limits/decide-limits.ts'
 import type { LimitEffect } from '../../../proxy/src/limits/effects.ts'
-import { VirtualFleet } from '../../../proxy/src/limits/virtual-fleet.ts'
-import { computeLoadResult, startMovingLoad } from '../../../proxy/src/limits/virtual-load.ts'
+import { SimulatedFleet } from '../../../proxy/src/limits/simulated-fleet.ts'
+import { computeLoadResult, startMovingLoad } from '../../../proxy/src/limits/simulated-load.ts'
 import { countAvailableTokens, createBucket, type Decide, hashName, type Rate, reserveTokens, spendReservedTokens, type TokenBucket } from '@camphorpitch/wire'
 import { pack } from 'msgpackr'
 
@@ -124,14 +124,14 @@
 }
 
 /** Mean size of a VM's packed state in bytes, a lower bound of the memory that it takes. */
-function measureStateBytes (fleet: VirtualFleet): number {
+function measureStateBytes (fleet: SimulatedFleet): number {
   const sizes = fleet.vms.map(v => pack({ spender: v.state!.spender, ledger: v.state!.ledger, ownership: v.state!.ownership }).length)
   return sizes.reduce((a, b) => a + b, 0) / sizes.length
 }
 
 function runScheme (scheme: string, vmCount: number, decide: LimitDecide, rates: Record<string, Rate>, durationMs: number): SchemeResult {
   const usage: DecisionUsage = { decideMs: 0, messages: 0, bytes: 0 }
-  const fleet = new VirtualFleet({
+  const fleet = new SimulatedFleet({
     seed: SEED,
     vmCount,
     rates,
--- a/packages/load/src/benchmarks/membership-faults.ts
+++ b/packages/load/src/benchmarks/membership-faults.ts
@@ -1,4 +1,4 @@
-import { VirtualFleet } from '../../../proxy/src/membership/virtual-fleet.ts'
+import { SimulatedFleet } from '../../../proxy/src/membership/simulated-fleet.ts'
 
 /**
  * Measures, by fleet size and on a simulated clock, how long all VMs' views take to converge after
@@ -20,14 +20,14 @@
   return Number(vm.slice('vm-'.length))
 }
 
-function startSettledFleet (size: number): VirtualFleet {
-  const fleet = new VirtualFleet({ size, seed: size, failureDomains: FAILURE_DOMAINS })
+function startSettledFleet (size: number): SimulatedFleet {
+  const fleet = new SimulatedFleet({ size, seed: size, failureDomains: FAILURE_DOMAINS })
   fleet.run(SETTLE_DURATION_MS)
   return fleet
 }
 
 /** Simulated time until `isDone` returns true; `null` when that takes longer than `CONVERGENCE_TIMEOUT_MS`. */
-function measureSimulatedMs (fleet: VirtualFleet, isDone: () => boolean): number | null {
+function measureSimulatedMs (fleet: SimulatedFleet, isDone: () => boolean): number | null {
   const startedAtMs = fleet.nowMs
   while (!isDone()) {
     if (fleet.nowMs - startedAtMs > CONVERGENCE_TIMEOUT_MS) return null
--- a/packages/load/src/benchmarks/membership.ts
+++ b/packages/load/src/benchmarks/membership.ts
@@ -1,7 +1,7 @@
 import { performance } from 'node:perf_hooks'
 import { pack } from 'msgpackr'
 import { decideMembership } from '../../../proxy/src/membership/decision.ts'
-import { VirtualFleet, type DecideMembership } from '../../../proxy/src/membership/virtual-fleet.ts'
+import { SimulatedFleet, type DecideMembership } from '../../../proxy/src/membership/simulated-fleet.ts'
 
 /**
  * Measures the cost and the accuracy of membership by fleet size and message loss, with the decisions of
@@ -39,7 +39,7 @@
   wrongDeathViews: number
 }
 
-function createMeasuredFleet (size: number, loss: number): { fleet: VirtualFleet, usage: Usage } {
+function createMeasuredFleet (size: number, loss: number): { fleet: SimulatedFleet, usage: Usage } {
   const usage: Usage = { decideMs: 0, packMs: 0, bytes: 0, messages: 0 }
   const decide: DecideMembership = (state, input, nowMs) => {
     const startedAtMs = performance.now()
@@ -53,11 +53,11 @@
     usage.packMs += performance.now() - startedAtMs
     usage.messages += 1
   }
-  return { fleet: new VirtualFleet({ size, seed: size, lossFraction: loss, decide, handleSend }), usage }
+  return { fleet: new SimulatedFleet({ size, seed: size, lossFraction: loss, decide, handleSend }), usage }
 }
 
 /** Stops a VM and measures the simulated time until no running VM's view holds it. */
-function measureDetection (fleet: VirtualFleet): number {
+function measureDetection (fleet: SimulatedFleet): number {
   const stoppedAtMs = fleet.nowMs
   fleet.stopVm('vm-1')
   while (fleet.listObserversOf('vm-1').length > 0 && fleet.nowMs - stoppedAtMs < DETECTION_TIMEOUT_MS) fleet.run(DETECTION_STEP_MS)
--- a/packages/proxy/src/configuration/fake-fleet.ts
+++ b/packages/proxy/src/configuration/fake-fleet.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom, type Decide, type StoredObject } from '@camphorpitch/wire'
 import type { Member } from '../membership/membership-view.ts'
-import { decideConfiguration } from './decision.ts'
+import { decideConfiguration } from './decide-configuration.ts'
 import { FakeObjectService } from './fake-object-service.ts'
 import { formatKey } from './object-set.ts'
 import { createConfigurationState, TICK_INTERVAL_MS, type ConfigurationEffect, type ConfigurationMessage, type ConfigurationState } from './state.ts'
--- a/packages/proxy/src/failover/failover.test.ts
+++ b/packages/proxy/src/failover/failover.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { runSimulatedGroup, type FaultKind, type SimulatedFault, type SimulationOptions, type SimulationResult, type DecisionVariant } from './virtual-group.ts'
+import { runSimulatedGroup, type FaultKind, type SimulatedFault, type SimulationOptions, type SimulationResult, type DecisionVariant } from './simulated-group.ts'
 import { TOLERATED_PAUSE_MS } from './timings.ts'
 
 /** Other seeds and more runs can be set in the environment; a failure prints its seed. */
--- a/packages/proxy/src/limits/limits-fairness.test.ts
+++ b/packages/proxy/src/limits/limits-fairness.test.ts
@@ -1,7 +1,7 @@
 import type { Rate } from '@camphorpitch/wire'
 import { expect } from 'chai'
-import { VirtualFleet } from './virtual-fleet.ts'
-import { computeLoadResult, startMovingLoad, type LoadResult } from './virtual-load.ts'
+import { SimulatedFleet } from './simulated-fleet.ts'
+import { computeLoadResult, startMovingLoad, type LoadResult } from './simulated-load.ts'
 
 const VM_COUNT = 9
 const WARM_UP_MS = 5_000
@@ -23,7 +23,7 @@
 }
 
 function runLoad (seed: number, abuserLoad: number): Map<string, LoadResult> {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
+  const fleet = new SimulatedFleet({ seed, vmCount: VM_COUNT, rates })
   fleet.queue.runUntil(WARM_UP_MS)
   for (const [workspace, { statementsPerSecond }] of Object.entries(rates)) {
     const load = workspace === 'abuser' ? abuserLoad : LOAD_FRACTION
--- a/packages/proxy/src/limits/limits-liveness.test.ts
+++ b/packages/proxy/src/limits/limits-liveness.test.ts
@@ -1,8 +1,8 @@
 import type { Rate } from '@camphorpitch/wire'
 import { expect } from 'chai'
 import { findCountingStartMs } from './ownership.ts'
-import { VirtualFleet, type VirtualVm } from './virtual-fleet.ts'
-import { computeLoadResult, startMovingLoad } from './virtual-load.ts'
+import { SimulatedFleet, type SimulatedVm } from './simulated-fleet.ts'
+import { computeLoadResult, startMovingLoad } from './simulated-load.ts'
 
 const VM_COUNT = 9
 /** 64 partitions with 3 shares each. */
@@ -14,20 +14,20 @@
   small: { statementsPerSecond: 5, burst: 10 }
 }
 
-function startFleet (seed: number): VirtualFleet {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
+function startFleet (seed: number): SimulatedFleet {
+  const fleet = new SimulatedFleet({ seed, vmCount: VM_COUNT, rates })
   fleet.queue.runUntil(WARM_UP_MS)
   return fleet
 }
 
-function startLoads (fleet: VirtualFleet, load: number, endMs: number): void {
+function startLoads (fleet: SimulatedFleet, load: number, endMs: number): void {
   for (const [workspace, { statementsPerSecond }] of Object.entries(rates)) {
     startMovingLoad(fleet, { workspace, requestsPerSecond: statementsPerSecond * load, endMs })
   }
 }
 
-function countCountedShares (fleet: VirtualFleet): number {
-  const count = (vm: VirtualVm): number => {
+function countCountedShares (fleet: SimulatedFleet): number {
+  const count = (vm: SimulatedVm): number => {
     if (vm.state === null) return 0
     const { ownership } = vm.state
     const nowMs = fleet.readClock(vm)
@@ -36,7 +36,7 @@
   return fleet.vms.reduce((sum, vm) => sum + count(vm), 0)
 }
 
-function checkWrongfulRefusals (fleet: VirtualFleet, workspace: string, fromMs: number): void {
+function checkWrongfulRefusals (fleet: SimulatedFleet, workspace: string, fromMs: number): void {
   const { wrongfulRefusals: wrongful, withinRate: within } = computeLoadResult(fleet.records, workspace, rates[workspace]!, fromMs)
   expect(within).to.be.above(0)
   expect(wrongful / within, workspace).to.be.below(MAX_WRONGFUL_FRACTION)
--- a/packages/proxy/src/limits/limits-safety.test.ts
+++ b/packages/proxy/src/limits/limits-safety.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { decideLimits, type LimitInput, type LimitState } from './decide-limits.ts'
 import type { LimitEffect } from './effects.ts'
-import { VirtualFleet, type AdmissionRecord, type ServiceMode, type VirtualVm } from './virtual-fleet.ts'
+import { SimulatedFleet, type AdmissionRecord, type ServiceMode, type SimulatedVm } from './simulated-fleet.ts'
 
 type LimitDecide = Decide<LimitState, LimitInput, LimitEffect>
 
@@ -41,17 +41,17 @@
 const scenarioArbitrary = fc.record({ seed: fc.integer(), faults: fc.array(faultArbitrary, { minLength: 1, maxLength: 3 }) })
 type Scenario = typeof scenarioArbitrary extends fc.Arbitrary<infer T> ? T : never
 
-function setNetworkCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
+function setNetworkCut (fleet: SimulatedFleet, vm: SimulatedVm, isCut: boolean): void {
   fleet.groups.set(vm.vm, isCut ? 1 : 0)
   fleet.publishMembers()
 }
 
-function setServiceCut (fleet: VirtualFleet, vm: VirtualVm, isCut: boolean): void {
+function setServiceCut (fleet: SimulatedFleet, vm: SimulatedVm, isCut: boolean): void {
   if (isCut) fleet.disconnectedFromService.add(vm.vm)
   else fleet.disconnectedFromService.delete(vm.vm)
 }
 
-function setSuspected (fleet: VirtualFleet, vm: VirtualVm, isSuspected: boolean): void {
+function setSuspected (fleet: SimulatedFleet, vm: SimulatedVm, isSuspected: boolean): void {
   if (isSuspected) fleet.suspected.add(vm.vm)
   else fleet.suspected.delete(vm.vm)
   fleet.publishMembers()
@@ -61,7 +61,7 @@
 const doNothing = (): void => {}
 
 /** Each function starts a fault and returns a function that ends it. */
-const faultActions: Record<FaultKind, (fleet: VirtualFleet, vm: VirtualVm, fault: Fault) => () => void> = {
+const faultActions: Record<FaultKind, (fleet: SimulatedFleet, vm: SimulatedVm, fault: Fault) => () => void> = {
   pause: (fleet, vm, { durationMs }) => {
     fleet.pauseVm(vm, durationMs)
     return doNothing
@@ -123,13 +123,13 @@
   'answers-lost': fleet => setService(fleet, 'answers-lost')
 }
 
-function setService (fleet: VirtualFleet, mode: ServiceMode): () => void {
+function setService (fleet: SimulatedFleet, mode: ServiceMode): () => void {
   fleet.service = mode
   return () => { fleet.service = 'up' }
 }
 
 /** Requests far more than the rate, from random VMs and partly in batches, so that each token is taken as soon as it can be. */
-function startClients (fleet: VirtualFleet, workspace: string, meanGapMs: number): void {
+function startClients (fleet: SimulatedFleet, workspace: string, meanGapMs: number): void {
   const sendBatch = (): void => {
     const vm = fleet.vms[Math.floor(fleet.random() * fleet.vms.length)]!
     const batchSize = fleet.random() < 0.1 ? 8 : 1
@@ -139,8 +139,8 @@
   sendBatch()
 }
 
-function runScenario ({ seed, faults }: Scenario, decide: LimitDecide): VirtualFleet {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT_FRACTION })
+function runScenario ({ seed, faults }: Scenario, decide: LimitDecide): SimulatedFleet {
+  const fleet = new SimulatedFleet({ seed, vmCount: VM_COUNT, rates, decide, clockDrift: CLOCK_DRIFT_FRACTION })
   startClients(fleet, 'large', 40)
   startClients(fleet, 'small', 250)
   for (const fault of faults) {
@@ -228,7 +228,7 @@
 type Change = { atMs: number, rate: Rate }
 
 /** Delivers the changes to each VM at different times, always in order. */
-function scheduleChanges (fleet: VirtualFleet, changes: readonly Change[]): void {
+function scheduleChanges (fleet: SimulatedFleet, changes: readonly Change[]): void {
   const ordered = [...changes].sort((a, b) => a.atMs - b.atMs)
   for (const vm of fleet.vms) {
     let atMs = 0
@@ -241,7 +241,7 @@
 
 /** Returns the largest excess over the largest rate and the largest burst of the run, which bound the admissions while contracts change. */
 function findChangeExcess (seed: number, changes: readonly Change[]): number {
-  const fleet = new VirtualFleet({ seed, vmCount: VM_COUNT, rates })
+  const fleet = new SimulatedFleet({ seed, vmCount: VM_COUNT, rates })
   startClients(fleet, 'large', 30)
   scheduleChanges(fleet, changes)
   fleet.queue.runUntil(25_000)
--- a/packages/proxy/src/limits/virtual-fleet.ts
+++ b/packages/proxy/src/limits/simulated-fleet.ts
@@ -78,7 +78,7 @@
 /** How the object service behaves; with `answers-lost`, most calls end with a failure although they took effect. */
 export type ServiceMode = 'up' | 'down' | 'slow' | 'answers-lost'
 
-export interface VirtualVm {
+export interface SimulatedVm {
   vm: string
   failureDomain: string
   incarnation: number
@@ -104,7 +104,7 @@
   requestedAtMs: number
 }
 
-export interface VirtualFleetOptions {
+export interface SimulatedFleetOptions {
   seed: number
   vmCount: number
   rates: Record<string, Rate>
@@ -123,10 +123,10 @@
 const OWNERS_FORWARD_DELAY_MS = 50
 
 /** Runs `decideLimits` on simulated VMs under a virtual clock, with fakes of the peer network, the membership and the object service. */
-export class VirtualFleet {
+export class SimulatedFleet {
   readonly queue = new EventQueue()
   readonly random: () => number
-  readonly vms: VirtualVm[] = []
+  readonly vms: SimulatedVm[] = []
   readonly records: AdmissionRecord[] = []
   readonly links: LinkFaults = { loss: 0, duplication: 0, extraDelayMs: 0 }
   service: ServiceMode = 'up'
@@ -136,18 +136,18 @@
   /** VMs that the others wrongly consider dead. */
   readonly suspected = new Set<string>()
   owners: { version: number, value: LimitOwners } | null = null
-  readonly #options: VirtualFleetOptions
+  readonly #options: SimulatedFleetOptions
   readonly #requests = new Map<string, { vm: string, workspace: string, requestedAtMs: number, resolve?: (a: Admission) => void }>()
   #nextRequestId = 1
 
-  constructor (options: VirtualFleetOptions) {
+  constructor (options: SimulatedFleetOptions) {
     this.#options = options
     this.random = createSeededRandom(options.seed)
     for (let i = 0; i < options.vmCount; i++) this.addVm(`vm-${i}`)
   }
 
-  addVm (vm: string): VirtualVm {
-    const added: VirtualVm = {
+  addVm (vm: string): SimulatedVm {
+    const added: SimulatedVm = {
       vm,
       failureDomain: `domain-${this.vms.length % DOMAIN_COUNT}`,
       incarnation: 0,
@@ -164,7 +164,7 @@
   }
 
   /** Starts the VM's process, with no state of an earlier process. */
-  startVm (vm: VirtualVm): void {
+  startVm (vm: SimulatedVm): void {
     vm.incarnation += 1
     vm.state = createLimitState({ vm: vm.vm, incarnation: vm.incarnation }, this.readClock(vm))
     vm.pendingInputs = []
@@ -176,7 +176,7 @@
   }
 
   /** Gives a new process the owners object that a peer knows, as the configuration does, also while the object service is down. */
-  #forwardOwners (vm: VirtualVm): void {
+  #forwardOwners (vm: SimulatedVm): void {
     const { incarnation } = vm
     this.queue.schedule(this.queue.nowMs + OWNERS_FORWARD_DELAY_MS, () => {
       const peer = this.vms.find(v => v !== vm && v.state?.ownership.owners != null && this.#isLinked(v, vm))
@@ -185,12 +185,12 @@
     })
   }
 
-  killVm (vm: VirtualVm): void {
+  killVm (vm: SimulatedVm): void {
     vm.state = null
     this.publishMembers()
   }
 
-  pauseVm (vm: VirtualVm, durationMs: number): void {
+  pauseVm (vm: SimulatedVm, durationMs: number): void {
     vm.pausedUntilMs = this.queue.nowMs + durationMs
     this.queue.schedule(vm.pausedUntilMs, () => {
       const inputs = vm.pendingInputs.splice(0)
@@ -201,7 +201,7 @@
   }
 
   /** Requests admission at the VM now; does nothing while its process does not run. */
-  admit (vm: VirtualVm, workspace: string, resolve?: (admission: Admission) => void): void {
+  admit (vm: SimulatedVm, workspace: string, resolve?: (admission: Admission) => void): void {
     const requestId = this.#nextRequestId++
     if (vm.state === null) return
     this.#requests.set(`${vm.vm}/${requestId}`, { vm: vm.vm, workspace, requestedAtMs: this.queue.nowMs, resolve })
@@ -209,7 +209,7 @@
   }
 
   /** Delivers an input to the VM, or at the end of its pause; dropped while its process does not run. */
-  deliver (vm: VirtualVm, input: LimitInput): void {
+  deliver (vm: SimulatedVm, input: LimitInput): void {
     if (vm.state === null) return
     if (this.queue.nowMs < vm.pausedUntilMs) vm.pendingInputs.push(input)
     else this.#decide(vm, input)
@@ -222,35 +222,35 @@
     })
   }
 
-  #listMembers (viewer: VirtualVm): Member[] {
+  #listMembers (viewer: SimulatedVm): Member[] {
     const visible = this.vms.filter(v => v === viewer || this.#isVisible(v, viewer))
     return visible.map(({ vm, failureDomain, incarnation }) => (
       { vm, host: '127.0.0.1', peerPort: 1, failureDomain, region: 'default', incarnation, state: 'live' }
     ))
   }
 
-  #isVisible (vm: VirtualVm, viewer: VirtualVm): boolean {
+  #isVisible (vm: SimulatedVm, viewer: SimulatedVm): boolean {
     const isRunning = vm.state !== null && this.queue.nowMs >= vm.pausedUntilMs
     return isRunning && this.#isLinked(vm, viewer) && !this.suspected.has(vm.vm)
   }
 
-  #isLinked (a: VirtualVm, b: VirtualVm): boolean {
+  #isLinked (a: SimulatedVm, b: SimulatedVm): boolean {
     return (this.groups.get(a.vm) ?? 0) === (this.groups.get(b.vm) ?? 0)
   }
 
   /** The VM's monotonic clock, in milliseconds. */
-  readClock (vm: VirtualVm): number {
+  readClock (vm: SimulatedVm): number {
     return this.queue.nowMs * vm.clockSpeed + vm.clockOffsetMs
   }
 
-  #decide (vm: VirtualVm, input: LimitInput): void {
+  #decide (vm: SimulatedVm, input: LimitInput): void {
     const decide = this.#options.decide ?? decideLimits
     const step = decide(vm.state!, input, this.readClock(vm))
     vm.state = step.state
     for (const effect of step.effects) this.#runEffect(vm, effect)
   }
 
-  #runEffect (vm: VirtualVm, effect: LimitEffect): void {
+  #runEffect (vm: SimulatedVm, effect: LimitEffect): void {
     switch (effect.type) {
       case 'resolve': return this.#recordAdmission(vm, effect.requestId, effect.admission)
       case 'send': return this.#send(vm, effect)
@@ -261,7 +261,7 @@
     }
   }
 
-  #recordAdmission (vm: VirtualVm, requestId: number, admission: Admission): void {
+  #recordAdmission (vm: SimulatedVm, requestId: number, admission: Admission): void {
     const key = `${vm.vm}/${requestId}`
     const request = this.#requests.get(key)
     if (request === undefined) return
@@ -270,14 +270,14 @@
     request.resolve?.(admission)
   }
 
-  #scheduleTick (vm: VirtualVm, atMs: number): void {
+  #scheduleTick (vm: SimulatedVm, atMs: number): void {
     const tickId = ++vm.scheduledTickId
     this.queue.schedule((atMs - vm.clockOffsetMs) / vm.clockSpeed, () => {
       if (vm.scheduledTickId === tickId) this.deliver(vm, { type: 'tick' })
     })
   }
 
-  #send (from: VirtualVm, effect: Extract<LimitEffect, { type: 'send' }>): void {
+  #send (from: SimulatedVm, effect: Extract<LimitEffect, { type: 'send' }>): void {
     const to = this.vms.find(v => v.vm === effect.vm)
     if (to === undefined) return
     const input: LimitInput = { type: 'peer', from: { vm: from.vm, incarnation: from.incarnation }, body: effect.body }
@@ -294,13 +294,13 @@
     }
   }
 
-  #computeLatencyMs (from: VirtualVm, to: VirtualVm): number {
+  #computeLatencyMs (from: SimulatedVm, to: SimulatedVm): number {
     const latencyMs = this.#options.latencyMs ?? 8
     return (from.failureDomain === to.failureDomain ? 0.5 : latencyMs) + this.random() * 0.5
   }
 
   /** Runs `call` at the object service and delivers its response, or `failure`; a response may be lost after `call` took effect. */
-  #requestService (vm: VirtualVm, call: () => LimitInput, failure: LimitInput | null): void {
+  #requestService (vm: SimulatedVm, call: () => LimitInput, failure: LimitInput | null): void {
     const slowMs = this.service === 'slow' ? this.random() * MAX_SLOW_SERVICE_DELAY_MS : 0
     const { incarnation } = vm
     const deliverLater = (input: LimitInput | null): void => this.queue.schedule(this.queue.nowMs + SERVICE_LATENCY_MS + slowMs, () => {
@@ -313,7 +313,7 @@
     })
   }
 
-  #write (vm: VirtualVm, version: number, value: LimitOwners): void {
+  #write (vm: SimulatedVm, version: number, value: LimitOwners): void {
     const unknown: LimitInput = { type: 'write-result', result: { outcome: 'unknown' } }
     this.#requestService(vm, () => {
       if ((this.owners?.version ?? 0) !== version) return { type: 'write-result', result: { outcome: 'conflict' } }
--- a/packages/proxy/src/limits/virtual-load.ts
+++ b/packages/proxy/src/limits/simulated-load.ts
@@ -1,5 +1,5 @@
 import { countAvailableTokens, createBucket, type Rate, reserveTokens, spendReservedTokens } from '@camphorpitch/wire'
-import type { AdmissionRecord, VirtualFleet, VirtualVm } from './virtual-fleet.ts'
+import type { AdmissionRecord, SimulatedFleet, SimulatedVm } from './simulated-fleet.ts'
 
 const BUSY_VM_CHANGE_INTERVAL_MS = 2_000
 
@@ -10,11 +10,11 @@
 }
 
 /** Schedules Poisson arrivals. Most of them go to one VM, which changes every `BUSY_VM_CHANGE_INTERVAL_MS`; the rest go to any VM. */
-export function startMovingLoad (fleet: VirtualFleet, { workspace, requestsPerSecond, endMs }: LoadOptions): void {
+export function startMovingLoad (fleet: SimulatedFleet, { workspace, requestsPerSecond, endMs }: LoadOptions): void {
   const { queue, vms, random } = fleet
   let busyVm = vms[0]!
   let nextMoveAtMs = -Infinity
-  function pickVm (): VirtualVm {
+  function pickVm (): SimulatedVm {
     if (queue.nowMs >= nextMoveAtMs) {
       nextMoveAtMs = queue.nowMs + BUSY_VM_CHANGE_INTERVAL_MS
       busyVm = vms[Math.floor(random() * vms.length)]!
--- a/packages/proxy/src/membership/membership.test.ts
+++ b/packages/proxy/src/membership/membership.test.ts
@@ -1,19 +1,19 @@
 import { expect } from 'chai'
-import type { DecideMembership } from './virtual-fleet.ts'
-import { FIRST_INCARNATION, VirtualFleet } from './virtual-fleet.ts'
+import type { DecideMembership } from './simulated-fleet.ts'
+import { FIRST_INCARNATION, SimulatedFleet } from './simulated-fleet.ts'
 import { computeMinSuspicionMs, REQUIRED_CONFIRMATIONS } from './probes.ts'
 import { decideMembership } from './decision.ts'
 
 const JOIN_DURATION_MS = 8_000
 
-function startFleet (seed: number, size: number, options: { lossFraction?: number, decide?: DecideMembership } = {}): VirtualFleet {
-  const fleet = new VirtualFleet({ size, seed, ...options })
+function startFleet (seed: number, size: number, options: { lossFraction?: number, decide?: DecideMembership } = {}): SimulatedFleet {
+  const fleet = new SimulatedFleet({ size, seed, ...options })
   fleet.run(JOIN_DURATION_MS)
   return fleet
 }
 
 /** Runs the fleet until `isDone`, for at most `limitMs` of simulated time. Returns the time that passed, in milliseconds. */
-function runUntil (fleet: VirtualFleet, limitMs: number, isDone: () => boolean): number {
+function runUntil (fleet: SimulatedFleet, limitMs: number, isDone: () => boolean): number {
   const startMs = fleet.nowMs
   while (!isDone() && fleet.nowMs - startMs < limitMs) fleet.run(1_000)
   return fleet.nowMs - startMs
@@ -84,7 +84,7 @@
 })
 
 /** Injects twelve seeded faults one after the other, and then starts the VMs that are stopped. */
-function injectFaults (fleet: VirtualFleet, size: number): void {
+function injectFaults (fleet: SimulatedFleet, size: number): void {
   for (let i = 0; i < 12; i++) {
     const vm = `vm-${Math.floor(fleet.pickRandom() * size)}`
     const sideCount = 2 + Math.floor(fleet.pickRandom() * 2)
--- a/packages/proxy/src/membership/virtual-fleet.ts
+++ b/packages/proxy/src/membership/simulated-fleet.ts
@@ -13,7 +13,7 @@
 /** The decision function under test: the real one, or a simplified one for comparison. */
 export type DecideMembership = typeof decideMembership
 
-export interface VirtualFleetOptions {
+export interface SimulatedFleetOptions {
   size: number
   seed: number
   decide?: DecideMembership
@@ -26,7 +26,7 @@
   handleSend?: (message: MembershipMessage) => void
 }
 
-interface VirtualVm {
+interface SimulatedVm {
   state: MembershipState
   isRunning: boolean
   pausedUntilMs: number
@@ -51,7 +51,7 @@
 }
 
 /** Runs the membership decisions of a fleet under a virtual clock and a seeded network. */
-export class VirtualFleet {
+export class SimulatedFleet {
   nowMs = 0
   lossFraction: number
   /** Every confirmation of a death by any VM. */
@@ -60,8 +60,8 @@
   readonly suspicions: ObservedChange[] = []
   /** Views in which a member's incarnation decreased, as `observer/generation/member`. */
   readonly incarnationRegressions: string[] = []
-  readonly #options: VirtualFleetOptions
-  readonly #vms = new Map<string, VirtualVm>()
+  readonly #options: SimulatedFleetOptions
+  readonly #vms = new Map<string, SimulatedVm>()
   readonly #buckets = new Map<number, ScheduledEvent[]>()
   /** Highest incarnation of each member in each generation of each observer's view. */
   readonly #highestIncarnations = new Map<string, number>()
@@ -70,7 +70,7 @@
   #randomState: number
   #findSide: ((vm: string) => number) | null = null
 
-  constructor (options: VirtualFleetOptions) {
+  constructor (options: SimulatedFleetOptions) {
     this.#options = options
     this.lossFraction = options.lossFraction ?? 0
     this.#randomState = options.seed | 0
